--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build run test ci lint format linter generate
+.PHONY: build run test ci lint format linter gopls generate
 
 build:
 	go build -o bin/ ./cmd/... ./test/standin
@@ -30,6 +30,13 @@
 	{ bin/golangci-lint version 2>/dev/null | grep -qF "version $$version " || \
 	GOBIN=$(CURDIR)/bin go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$$GOLANGCI_LINT_VERSION; }
 
+# Installs the language server, which renames identifiers across the repository,
+# unless the pinned version is there already.
+gopls:
+	@. tools/tools.env && \
+	{ bin/gopls version 2>/dev/null | grep -qF "gopls $$GOPLS_VERSION" || \
+	GOBIN=$(CURDIR)/bin go install golang.org/x/tools/gopls@$$GOPLS_VERSION; }
+
 # The decisions against baselines and an oracle, in virtual time; about a minute.
 .PHONY: measure
 measure:
