--- a/internal/core/configs.go
+++ b/internal/core/configs.go
@@ -8,59 +8,67 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/config"
 )
 
-// ConfigKey is the store's key of the operators' text.
+// ConfigKey is the store key of the operators' configuration text.
 const ConfigKey = "ebonydyke/config"
 
-// How an instance follows the configuration key.
+// Delays for reading and writing the configuration key.
 const (
-	// configReadInterval is how often those that do not follow the store read it to
-	// verify what they heard from peers. It is spread by half to either side.
+	// configReadInterval is the mean interval at which instances that do not follow the store
+	// read the key to verify what they received from peers. Each draws its interval at random
+	// from half to one and a half of this value.
 	configReadInterval = 10 * time.Minute
-	// configRetryDelay and configMaxDelay bound the back-off after failed calls. The
-	// operators count on a text's being in force within two seconds once the store has
-	// been stable for three, so the pause after many failures must lie under that.
+	// configRetryDelay is the mean delay after the first failed call.
 	configRetryDelay = 250 * time.Millisecond
-	configMaxDelay   = time.Second
-	// writeBackDelay is how long a follower waits before it writes back what the
-	// store has lost, so that most find that another has done it. It is spread.
+	// configMaxDelay is the maximum backoff delay. Operators expect a text to be in force
+	// within two seconds once the store has been stable for three, so the delay must be shorter
+	// than that.
+	configMaxDelay = time.Second
+	// writeBackDelay is the mean delay before a follower writes back a configuration that the
+	// store has lost. It is randomized, so that most followers find that another one has
+	// already done it.
 	writeBackDelay = time.Second
 )
 
-// The counters of the configuration.
+// Counters of the configuration.
 const (
-	// counterConfigConflicts counts other edits met under the generation in force.
+	// counterConfigConflicts counts edits that differ from the one in force but have the same
+	// generation.
 	counterConfigConflicts = "config_conflicts"
-	// counterConfigWriteBacks counts writes of the text in force to a store that had
+	// counterConfigWriteBacks counts writes of the configuration in force to a store that had
 	// lost it.
 	counterConfigWriteBacks = "config_write_backs"
 )
 
-// configState follows the configuration key of the platform's store.
+// configState tracks the configuration key of the platform's store.
 type configState struct {
-	// inForce is the envelope of the snapshot.
+	// inForce is the envelope of the current snapshot.
 	inForce config.Envelope
-	// call is the read or watch under way, and version the newest it has seen.
-	call    OpID
+	// call identifies the read or watch in progress.
+	call OpID
+	// version is the newest version that the store returned.
 	version uint64
-	// verifyAt is when it is read next if this instance does not watch it.
+	// verifyAt is the time of the next read if this instance does not watch the key.
 	verifyAt time.Time
 	failures int
-	// missed says that a read ended without a configuration that can be taken.
+	// missed is set if the last read left this instance without a configuration.
 	missed bool
-	// next is when the next call may be made, and pacing what keeps changes apart.
-	next   time.Time
+	// next is the earliest time for a further read or watch.
+	next time.Time
+	// pacing limits the rate of watch results.
 	pacing watchPacing
-	// behind is set while the store holds less than is in force; writing back is
-	// due at backAt, and back is the write under way.
+	// behind is set while the store holds an older configuration than the one in force.
 	behind bool
+	// backAt is the time when the write-back is due.
 	backAt time.Time
-	back   OpID
-	// refused is the newest envelope that could not be taken, and why.
-	refused  config.Envelope
+	// back identifies the write in progress that restores the configuration in the store.
+	back OpID
+	// refused is the newest rejected envelope.
+	refused config.Envelope
+	// findings are the reasons for its rejection.
 	findings config.Findings
 }
 
-// tickConfig keeps one call on the configuration key.
+// tickConfig keeps one call on the configuration key in progress.
 func (n *Node) tickConfig() {
 	c := &n.configs
 	watches := n.follows()
@@ -93,7 +101,7 @@
 	}
 }
 
-// configRead takes the end of a read or a watch.
+// configRead handles the result of a read or watch.
 func (n *Node) configRead(e StoreReplied) {
 	c := &n.configs
 	c.call = 0
@@ -116,7 +124,7 @@
 		n.readConfig(e)
 	case StoreAbsent:
 		c.version = 0
-		// A watch of an absent key may answer at once.
+		// A watch of an absent key may return at once.
 		c.next = n.now.Add(n.spread(configRetryDelay))
 		n.storeHolds(config.Envelope{})
 	}
@@ -137,13 +145,13 @@
 	n.storeHolds(env)
 }
 
-// offerConfig takes a configuration if it is newer than the one in force.
+// offerConfig applies a configuration if it is newer than the one in force.
 //
-// The store may come back with an older value and a peer may lag: a generation
-// that is not higher is ignored, so an accepted configuration never reverts. Two
-// edits under one generation can only come from a store that went back and was
-// then written by an operator who could not see the fleet; all instances settle on
-// the same one, that with the greater edit id, whichever they meet first.
+// The store may return an older value after an outage, and a peer may lag behind. A
+// configuration with a lower generation is therefore ignored, so an accepted one never reverts.
+// Two edits with the same generation occur only if the store went back to an older state and an
+// operator who saw only the store then wrote to it. All instances converge on the edit with the
+// greater ID, in whichever order they receive them.
 func (n *Node) offerConfig(offer ConfigOffer) {
 	env := offer.Envelope
 	if n.snapshot != nil && env.Generation <= n.snapshot.Generation {
@@ -172,7 +180,7 @@
 	n.emit(ConfigTaken{Generation: env.Generation, Edit: env.Edit})
 }
 
-// check reads and checks the offered configuration.
+// check parses and validates the offered configuration.
 func (o *ConfigOffer) check() (*config.Snapshot, error) {
 	if o.Text != nil {
 		return config.CheckText(ConfigKey, o.Envelope, *o.Text)
@@ -180,17 +188,17 @@
 	return config.Check(ConfigKey, o.Envelope)
 }
 
-// refuseConfig keeps the configuration in force and shows why in the status.
+// refuseConfig keeps the configuration in force and records the findings for the status.
 func (n *Node) refuseConfig(env config.Envelope, findings config.Findings) {
 	n.configs.refused, n.configs.findings = env, findings
 	n.emit(ConfigRefused{Generation: env.Generation, Findings: findings})
 }
 
-// storeHolds compares what the store holds with what is in force.
+// storeHolds compares the configuration in the store with the one in force.
 //
-// A store that was restored from a copy, or lost a write that it had acknowledged,
-// holds less. An instance that starts then would take an old text, and the next
-// edit would be based on it; so the followers write back what is in force.
+// A store that was restored from a backup, or lost an acknowledged write, holds an older one. A
+// starting instance would apply that text, and the next edit would be based on it. The
+// followers therefore write back the configuration in force.
 func (n *Node) storeHolds(env config.Envelope) {
 	c := &n.configs
 	if n.snapshot == nil || n.settings.ConfigReadOnly {
@@ -204,8 +212,8 @@
 	c.behind = older
 }
 
-// writeBackConfig writes the envelope in force over the older one. The version
-// that was read with the older one keeps it from undoing an edit made meanwhile.
+// writeBackConfig replaces the older envelope in the store by the one in force. The write is
+// conditional on the version that was read, so it cannot overwrite an edit made meanwhile.
 func (n *Node) writeBackConfig() {
 	c := &n.configs
 	value, err := json.Marshal(c.inForce)
@@ -217,8 +225,8 @@
 	n.emit(StoreSwap{Op: c.back, Key: ConfigKey, Version: c.version, Value: value})
 }
 
-// configWrittenBack takes the end of writing back. Whatever it was, the watch goes
-// on from the version that it has seen, and shows what the store holds now.
+// configWrittenBack handles the result of a write-back. Whatever the result, the watch
+// continues from the last version seen and returns the current value.
 func (n *Node) configWrittenBack(e StoreReplied) {
 	c := &n.configs
 	c.back = 0
@@ -228,9 +236,8 @@
 	}
 }
 
-// peerWantsConfig answers a peer whose configuration is older than ours. This is
-// how an instance that starts while the platform is away gets the newest that its
-// peers know.
+// peerWantsConfig answers a peer that has an older configuration. This is how an instance that
+// starts while the platform is unreachable gets the newest configuration known to its peers.
 func (n *Node) peerWantsConfig(from string, wanted *ConfigWanted) {
 	if n.snapshot == nil || n.snapshot.Generation <= wanted.Above {
 		return
--- a/internal/core/configs_test.go
+++ b/internal/core/configs_test.go
@@ -16,8 +16,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/config"
 )
 
-// put writes a value to the configuration key, as an operator's tool or as a store
-// that comes back from a copy.
+// put writes a value to the configuration key, like an operator's tool or a store that was
+// restored from a backup.
 func (f *fleet) put(generation uint64, edit, text string) {
 	value, err := json.Marshal(config.Envelope{Generation: generation, Edit: edit, Text: text})
 	if err != nil {
@@ -29,8 +29,8 @@
 	f.store.wake(v)
 }
 
-// onGeneration counts the instances that have a generation in force, and gives
-// when the last of them took it.
+// onGeneration returns the number of instances that have a generation in force, and the time
+// when the last of them applied it.
 func (f *fleet) onGeneration(generation uint64) (count int, last time.Time) {
 	for _, m := range f.members {
 		if m.dead || m.generation != generation {
@@ -62,13 +62,12 @@
 	require.Zero(t, f.reverts)
 }
 
-// Operators change a limit at opening time and some instances go on with the old
-// one for minutes.
+// Operators change a limit, and some instances keep the old configuration for minutes.
 func TestAnEditIsInForceEverywhereWithinSeconds(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ instances, zones, edits int }{{8, 3, 10}, {58, 3, 3}, {350, 6, 1}} {
 		f, text := configFleet(t, 11, size.instances, size.zones)
-		// Each watches at its start; those watches must be over.
+		// Each instance watches the key at its start. Those watches must have ended.
 		f.run(31 * time.Second)
 		clear(f.calls)
 		var worst time.Duration
@@ -81,15 +80,14 @@
 			worst = max(worst, last.Sub(accepted))
 		}
 		seconds := float64(size.edits * 8)
-		t.Logf("%d instances: in force on the last %v after the write; platform calls a second: %.1f list, %.1f get, %.1f watch",
+		t.Logf("%d instances: in force on the last instance %v after the write; platform calls per second: %.1f list, %.1f get, %.1f watch",
 			size.instances, worst, float64(f.calls["list"])/seconds, float64(f.calls["get"])/seconds, float64(f.calls["watch"])/seconds)
 		require.Less(t, worst, 15*time.Second)
 	}
 }
 
-// The store was restored from a copy, or is back after an outage without its last
-// write: the fleet must not go back, and an instance that starts then must not take
-// the old text.
+// The store is restored from a backup, or returns from an outage without its last write. The
+// fleet must not revert to the older text, and an instance that starts then must not apply it.
 func TestAStoreThatComesBackOlderDoesNotRevert(t *testing.T) {
 	f, text := configFleet(t, 12, 8, 3)
 	f.put(2, "second", text)
@@ -111,12 +109,12 @@
 	f.store.wake(v)
 	f.run(2 * time.Minute)
 	f.requireAll(t, 2)
-	require.Contains(t, string(f.store.value(core.ConfigKey).value), `"generation":2`, "an emptied store too")
+	require.Contains(t, string(f.store.value(core.ConfigKey).value), `"generation":2`, "also written back to an emptied store")
 	t.Logf("%d write-backs by 8 instances", f.counters["config_write_backs/"])
 }
 
-// A replaced instance starts during an outage of the platform and refuses all
-// callers for want of a text that every neighbour has.
+// A replaced instance starts while the platform is unreachable. It would refuse all requests
+// for lack of a configuration that every neighbour has.
 func TestAnInstanceThatStartsInAnOutageAsksItsPeers(t *testing.T) {
 	f, text := configFleet(t, 13, 8, 3)
 	f.put(2, "second", text)
@@ -133,9 +131,10 @@
 	t.Logf("in force %v after its start", m.takenAt.Sub(started))
 }
 
-// A zone is cut off and an edit comes meanwhile. Cut from the platform only, it
-// hears from its peers; cut from its peers only, from the platform; cut from both,
-// it goes on with what it has and takes the edit once it is healed.
+// A zone is cut off while the operators edit the configuration. If it is cut off only from the
+// platform, it must get the edit from its peers; if only from its peers, from the platform. If
+// it is cut off from both, it must keep its configuration and apply the edit after the
+// partition heals.
 func TestAZoneCutOffTakesTheEditWhenItCan(t *testing.T) {
 	inZone := func(m *member) bool { return m.zone == "zone-0" }
 	across := func(a, b *member) bool { return inZone(a) != inZone(b) }
@@ -164,8 +163,9 @@
 	f.requireAll(t, 4)
 }
 
-// Two edits under one generation, after a store went back and an operator who saw
-// only the store wrote again: half the fleet would stay on each. All settle on one.
+// Two edits have the same generation: the store went back to an older state, and an operator
+// who saw only the store wrote again. Instances would keep different edits. All must converge
+// on the same one.
 func TestTwoEditsUnderOneGenerationSettle(t *testing.T) {
 	for _, edits := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		f, text := configFleet(t, 15, 8, 3)
@@ -183,8 +183,8 @@
 	}
 }
 
-// A text with a mistake, or a value that is no text, is refused whole and shown;
-// what was in force goes on, and the next good one is taken.
+// An invalid text, or a value that cannot be decoded, must be rejected as a whole and shown in
+// the status. The configuration in force stays, and the next valid one is applied.
 func TestATextThatCannotBeTakenLeavesTheOldInForce(t *testing.T) {
 	f, text := configFleet(t, 16, 3, 1)
 	f.put(2, "bad", strings.Replace(text, `"plain"`, `"plane"`, 1))
@@ -204,8 +204,8 @@
 	require.Empty(t, f.members[0].node.Status().Findings)
 }
 
-// Any order of edits, outages, cuts, restores, freezes and restarts: no instance
-// goes back, and once all is healed every one has the newest.
+// After any sequence of edits, outages, partitions, restores, freezes and restarts, no instance
+// may have reverted, and all must have the newest configuration once everything has healed.
 func TestNoScheduleRevertsAConfiguration(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -226,7 +226,7 @@
 			case 4:
 				f.boot(m, "")
 			case 5:
-				// An instance that has the newest must know it for the restore to be noticed.
+				// The restore can only be detected if an instance has the newest generation.
 				if count, _ := f.onGeneration(generation); generation > 1 && count > 1 {
 					f.put(generation-1, fmt.Sprint(generation-1), text)
 				}
@@ -242,14 +242,14 @@
 		f.cut, f.cutOff = func(_, _ *member) bool { return false }, func(*member) bool { return false }
 		f.run(3 * time.Minute)
 		if f.reverts > 0 {
-			t.Fatal("an instance went back")
+			t.Fatal("an instance reverted")
 		}
 		newest := uint64(0)
 		for _, m := range f.members {
 			newest = max(newest, m.generation)
 		}
 		if count, _ := f.onGeneration(newest); count != len(f.members) {
-			t.Fatalf("%d of 4 on generation %d", count, newest)
+			t.Fatalf("%d of 4 instances on generation %d", count, newest)
 		}
 	})
 }
--- a/internal/core/digests.go
+++ b/internal/core/digests.go
@@ -11,7 +11,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/sums"
 )
 
-// sendDigest tells a peer what is new, if anything is or the heartbeat is due.
+// sendDigest sends a peer a digest if there are changes or the heartbeat is due.
 func (n *Node) sendDigest(p *peerState) {
 	d := &Digest{
 		Incarnation: n.settings.Incarnation,
@@ -21,7 +21,7 @@
 		Resync:      p.wantFull,
 		WantMembers: n.knowsNobody(),
 	}
-	news := d.Generation != p.toldGeneration || d.Leaving != p.toldLeaving || n.backends.has() != p.toldEntries
+	changed := d.Generation != p.toldGeneration || d.Leaving != p.toldLeaving || n.backends.has() != p.toldEntries
 	n.addLoads(p, d)
 	n.addReports(p, d)
 	d.StoreAge = n.storeAge()
@@ -31,9 +31,9 @@
 		p.membersPending = false
 		d.Members = n.everyMember()
 	}
-	// A gap is asked about each round until it is filled, but not of a silent peer.
-	news = news || d.Full || d.saysSomething() || (d.Resync && !p.forgotten)
-	if !news && n.now.Sub(p.sentAt) < n.heartbeat() {
+	// A full digest is requested each round until it arrives, but not while the peer is silent.
+	changed = changed || d.Full || d.saysSomething() || (d.Resync && !p.forgotten)
+	if !changed && n.now.Sub(p.sentAt) < n.heartbeat() {
 		return
 	}
 	p.seq++
@@ -43,8 +43,8 @@
 	n.emit(SendPeer{To: p.name, Message: PeerMessage{Digest: d}})
 }
 
-// addFacts adds what is new of other instances and of backend servers. The zone of a peer
-// that hears loads alone hears of them from others.
+// addFacts adds changes of other instances and of backend servers. A peer in another zone that
+// gets only loads receives the facts from other instances.
 func (n *Node) addFacts(p *peerState, d *Digest) {
 	if n.neighbour(p.name) && !n.hearsFacts(p.name) {
 		p.toldSeq, p.introducedSeq = n.view.Seq(), n.view.Seq()
@@ -55,13 +55,14 @@
 	n.addAnswers(p, d)
 }
 
-// saysSomething tells whether any list of the digest has an entry.
+// saysSomething reports whether any list of the digest has an entry.
 func (d *Digest) saysSomething() bool {
 	loads := len(d.Loads) + len(d.RowSums) + len(d.Totals) + len(d.Reports)
 	return loads+len(d.Facts)+len(d.Members)+len(d.Answers)+len(d.LostFollowers) > 0
 }
 
-// heartbeat is how long after its last digest a peer hears one that says nothing new.
+// heartbeat returns the time since its last digest after which a peer is sent one even without
+// changes. It is one round less than the maximum interval, since digests are due once a round.
 func (n *Node) heartbeat() time.Duration {
 	if n.beats() {
 		return n.followerBeat() - n.round()
@@ -76,34 +77,35 @@
 	return n.snapshot.Generation
 }
 
-// knowsNobody tells whether this instance started while the platform is away and
-// has to learn the fleet from its peers.
+// knowsNobody reports whether this instance started while the platform was unreachable and must
+// get the list of instances from its peers.
 func (n *Node) knowsNobody() bool {
 	return n.members.read.IsZero() && n.members.failures > 0 && n.view.Seq() == 0
 }
 
-// everyMember lists the instances that are not gone. Those missing from the list
-// are not passed on: that is this instance's own inference.
+// everyMember returns the instances that are not gone. It does not include those missing from
+// the platform's list, since their absence is this instance's own inference.
 func (n *Node) everyMember() []membership.Instance {
-	var out []membership.Instance
+	var members []membership.Instance
 	n.view.Each(func(in *membership.Instance) {
 		if in.State != membership.Gone {
-			out = append(out, *in)
+			members = append(members, *in)
 		}
 	})
-	slices.SortFunc(out, func(a, b membership.Instance) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(members, func(a, b membership.Instance) int { return cmp.Compare(a.Name, b.Name) })
+	return members
 }
 
-// addLoads adds what changed since the last digest, or everything.
+// addLoads adds the loads that changed since the last digest, or all loads if the digest is
+// full.
 func (n *Node) addLoads(p *peerState, d *Digest) {
 	level := n.peers.budget.Level(n.now)
 	if level == budget.NoLoads {
 		return
 	}
 	if p.refreshAt.IsZero() {
-		// Anywhere in the interval, so that a fleet that started together does not
-		// refresh together.
+		// The first refresh is at a random point of the interval, so that instances started
+		// together do not refresh at the same time.
 		p.refreshAt = n.now.Add(time.Duration(n.random.Float64() * float64(refreshEvery)))
 	}
 	if !n.now.Before(p.refreshAt) {
@@ -114,19 +116,19 @@
 			n.emit(Counted{Counter: counterShed, Label: "refresh", N: 1})
 		}
 	}
-	now := n.loadsFor(p)
+	current := n.loadsFor(p)
 	if n.now.Sub(n.peers.layoutAt) < handover {
-		now.Linger(p.sent)
+		current.Linger(p.sent)
 	}
 	d.Full, p.fullPending = p.fullPending, false
-	c := now.Change(p.sent, d.Full, level == budget.Sparing)
-	d.Loads, d.RowSums, d.Totals = c.Own, c.Rows, c.Totals
-	if c.Shed > 0 {
-		n.emit(Counted{Counter: counterShed, Label: "load", N: c.Shed})
+	changes := current.Change(p.sent, d.Full, level == budget.Sparing)
+	d.Loads, d.RowSums, d.Totals = changes.Own, changes.Rows, changes.Totals
+	if changes.Shed > 0 {
+		n.emit(Counted{Counter: counterShed, Label: "load", N: changes.Shed})
 	}
 }
 
-// loadsFor gives the loads that a peer must hear.
+// loadsFor returns the loads to be sent to a peer.
 func (n *Node) loadsFor(p *peerState) sums.Lists {
 	if n.outsider(p.name) {
 		return sums.NewLists()
@@ -148,7 +150,7 @@
 	clear(p.reports)
 }
 
-// peerDigest takes what a peer says of loads, members and its configuration.
+// peerDigest applies a digest from a peer.
 func (n *Node) peerDigest(from string, d *Digest) {
 	p := n.peer(from)
 	if !n.freshDigest(p, d) {
@@ -157,10 +159,11 @@
 	p.heardAt = n.now
 	p.forgotten = false
 	if in := n.view.Get(from); len(d.RowSums) > 0 && in != nil && in.Zone != n.settings.Zone {
-		// Another zone needs the loads of all: so does this one, whoever comes first.
+		// The other zone sends its loads because it needs the loads of all zones. This zone
+		// then sends its own as well.
 		n.peers.farLoads = true
 	}
-	// Also without a change: the tracker ages the loads of peers that say nothing.
+	// This is needed even without changes, because the tracker ages the loads of silent peers.
 	n.peerLoads(p.name, p.heard.Take(sums.Changes{Own: d.Loads, Rows: d.RowSums, Totals: d.Totals}, d.Full))
 	if d.Resync {
 		p.fullPending = true
@@ -190,9 +193,8 @@
 	n.heardGeneration(from, d.Generation)
 }
 
-// freshDigest tells whether a digest says anything that was not said since. One
-// of an earlier process under the same name, and one that came before, are not
-// taken: they would bring back loads that have ended.
+// freshDigest reports whether a digest is new. Digests from an earlier incarnation, duplicates
+// and late ones are rejected, since they would restore loads that have ended.
 func (n *Node) freshDigest(p *peerState, d *Digest) bool {
 	switch {
 	case d.Incarnation < p.incarnation:
@@ -215,16 +217,17 @@
 	return true
 }
 
-// peerLeaves spreads that a peer has begun its graceful shutdown. The fact is of
-// the incarnation in the platform's list, whose numbers need not be the processes'.
+// peerLeaves records the fact that a peer has begun its graceful shutdown, so that it is sent
+// on. The fact uses the incarnation in the platform's list, which may differ from the process's
+// own.
 func (n *Node) peerLeaves(name string) {
 	if in := n.view.Get(name); in != nil {
 		n.learn(membership.Fact{Name: name, Incarnation: in.Incarnation, State: membership.Leaving})
 	}
 }
 
-// heardGeneration asks a peer for its configuration if it is ahead. A text that
-// this instance can't take is not asked for at once again.
+// heardGeneration requests a peer's configuration if its generation is newer. A text that this
+// instance cannot accept is not requested again at once.
 func (n *Node) heardGeneration(from string, generation uint64) {
 	if generation <= n.generation() || !n.peers.wanted.due(generation, n.now) {
 		return
--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -9,83 +9,89 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/rendezvous"
 )
 
-// A few instances of the fleet follow the store and pass on what changes. A watch by
-// each would cost a call for each change and instance.
+// A few instances, the followers, watch the store and send its changes to all others. If every
+// instance had a watch, each change would cost one call per instance.
 const (
-	// leastFollowers is the fewest that follow it; otherwise there is one a zone, so that
-	// a zone that is cut off from the others, but not from the store, hears its news.
+	// leastFollowers is the minimum number of followers. With more zones there is one per zone,
+	// so that a zone that is cut off from the others, but not from the store, still receives
+	// changes.
 	leastFollowers = 3
-	// mostStandIns is how many may take the place of followers that are lost. More would
-	// only ask a store in vain that answers nobody.
+	// mostStandIns is the maximum number of instances that replace lost followers. If the store
+	// answers no instance, more would only add failing calls.
 	mostStandIns = 3
-	// lossLife is how long a follower counts as lost after the last word on it.
+	// lossLife is how long a follower counts as lost after the last report of its loss.
 	lossLife = 4 * time.Second
-	// followerSilence is how old the newest answer of the store to any instance may be,
-	// as far as this one has heard, before more instances follow: a watch that waits and
-	// the rounds that its end takes from one end of a large fleet to the other.
+	// followerSilence is the maximum age of the store's last answer to any instance, as far as
+	// this one knows, before more instances follow the store. It covers a watch without
+	// changes, and the rounds that its result takes to cross a large fleet.
 	followerSilence = 12 * time.Second
-	// followerStep is the further silence with which their number doubles. In an outage
-	// nobody gets an answer, and all the fleet must not ask in vain.
+	// followerStep is the additional silence after which the number of followers doubles again.
+	// During an outage no call succeeds, so the whole fleet must not start calling at once.
 	followerStep = 3 * time.Second
-	// mostDoublings bounds it: by then the largest fleet follows.
+	// mostDoublings limits the doublings. With that many, all instances of the largest fleet
+	// follow the store.
 	mostDoublings = 10
-	// hearsNobodyAfter is how long the peers may say nothing before an instance takes itself
-	// for cut off from them: two heartbeats.
+	// hearsNobodyAfter is the time without messages from any peer after which an instance
+	// considers itself cut off: two heartbeats.
 	hearsNobodyAfter = 2 * heartbeat
-	// lossEvery is how often a peer hears of a follower that is still lost.
+	// lossEvery is the interval at which a peer is told again of a follower that is still lost.
 	lossEvery = time.Second
-	// meshBeat and hopBeat are the longest pauses between digests of a follower, where
-	// the fleet is a full mesh and where it is larger.
+	// meshBeat and hopBeat are the maximum intervals between a follower's digests, in a full
+	// mesh and in a larger fleet.
 	meshBeat, hopBeat = 500 * time.Millisecond, time.Second
-	// joinSettle is how long an instance that starts looks for the others before it
-	// takes itself for a follower: those that start together find each other meanwhile.
+	// joinSettle is how long a starting instance waits for other instances to appear before it
+	// may become a follower by rank. Instances that start together find each other in this
+	// time.
 	joinSettle = time.Second
-	// lagTolerance is how long a peer may be ahead before an instance asks the store
-	// itself: what is passed on takes a round or two. joinTolerance is the same for an
-	// instance that starts and gets all of it from its peers, when no caller waits.
-	lagTolerance  = 1500 * time.Millisecond
+	// lagTolerance is how long a peer may be ahead before this instance calls the store itself.
+	// Changes sent by peers arrive within a round or two.
+	lagTolerance = 1500 * time.Millisecond
+	// joinTolerance is the same limit for a starting instance that gets all data from its peers
+	// while no caller waits.
 	joinTolerance = 4 * time.Second
-	// callersWaitFor is how long a caller, also a refused one, counts as waiting for what
-	// this instance does not know yet.
+	// callersWaitFor is how long a caller, even a refused one, counts as waiting for data that
+	// this instance lacks.
 	callersWaitFor = 2 * time.Second
-	// watchPause is the least time between two ends of one watch, and mostWatchPause that
-	// to which it grows while every watch brings changes. What comes meanwhile comes with
-	// one call; callers notice nothing, as a leaving server works on for seconds, and the
-	// other followers pause at other times.
-	watchPause     = 300 * time.Millisecond
+	// watchPause is the minimum time between two results of one watch. The time doubles while every
+	// watch returns changes. Changes during the pause arrive with a single call. Callers are
+	// not affected, because a leaving server keeps working for seconds and other followers
+	// pause at different times.
+	watchPause = 300 * time.Millisecond
+	// mostWatchPause is the limit of that doubling.
 	mostWatchPause = 1200 * time.Millisecond
-	// watchCalm is how long after a change the next one counts as a single one.
+	// watchCalm is the time without changes after which the next change resets the pause.
 	watchCalm = 2 * mostWatchPause
 )
 
-// followState is what this instance knows of the fleet's sight of the store.
+// followState holds which instances follow the store and what is known of their access to it.
 type followState struct {
-	// ranking are the instances in the order in which they follow the store, rank is this
-	// one's place there, and wanted how many of them follow.
+	// ranking lists the instances in the order in which they become followers. rank is this
+	// instance's position in it, and wanted the number of followers.
 	ranking []string
 	rank    int
 	wanted  int
-	// cause is why this instance follows, if it does.
+	// cause is the reason why this instance follows the store, notFollowing if it does not.
 	cause followCause
-	// lost are the followers that cannot follow, or of which a neighbour hears nothing,
-	// and when that was last so.
+	// lost maps each follower that cannot reach the store or is silent to the time when this
+	// was last reported.
 	lost map[string]time.Time
-	// heardAt is when a read or a watch last succeeded here, and failedAt when one last
-	// failed.
+	// heardAt and failedAt are the times when a store read or watch of this instance last
+	// succeeded and last failed.
 	heardAt, failedAt time.Time
-	// othersHeardAt is when one last succeeded at another instance, by what they say.
+	// othersHeardAt is the time of the last success at another instance, as reported by peers.
 	othersHeardAt time.Time
-	// aheadSince is when a peer was first ahead of this instance, zero if none is, and
-	// aheadEntry and aheadGeneration what it had.
+	// aheadSince is the time since which a peer has been ahead of this instance, zero if none
+	// is. aheadEntry and aheadGeneration are that peer's entry revision and configuration
+	// generation.
 	aheadSince      time.Time
 	aheadEntry      uint64
 	aheadGeneration uint64
-	// callerAt is when a caller last waited, or was refused, for want of what the store
-	// or a peer would have told.
+	// callerAt is the last time a caller waited, or was refused, because data from the store or
+	// a peer was missing.
 	callerAt time.Time
 }
 
-// followCause says why an instance follows the store.
+// followCause is the reason why an instance follows the store.
 type followCause string
 
 const (
@@ -94,30 +100,31 @@
 	followsForLost    followCause = "followers are lost"
 	followsBehind     followCause = "a peer knows more"
 	followsForCallers followCause = "callers wait"
-	followsAlone      followCause = "no peer is heard"
-	followsInSilence  followCause = "no instance hears the store"
+	followsAlone      followCause = "no message from any peer"
+	followsInSilence  followCause = "the store answers no instance"
 )
 
-// tickFollow takes anew whether this instance follows the store.
+// tickFollow determines again whether this instance follows the store.
 func (n *Node) tickFollow() {
 	n.entries()
 	n.noteLostFollowers()
-	was := n.follow.cause
+	previous := n.follow.cause
 	n.follow.cause = n.whyFollow()
 	switch {
-	case was == n.follow.cause:
+	case previous == n.follow.cause:
 	case n.follow.cause == notFollowing:
-		n.emit(Learned{Subject: OfStore, State: "left to the followers"})
+		n.emit(Learned{Subject: OfStore, State: "not followed"})
 	default:
 		n.emit(Learned{Subject: OfStore, State: "followed", Cause: string(n.follow.cause)})
 	}
 }
 
-// follows tells whether this instance reads and watches the store.
+// follows reports whether this instance reads and watches the store.
 func (n *Node) follows() bool { return n.follow.cause != notFollowing }
 
-// whyFollow says why this instance follows the store: it is one of the fleet's
-// followers or stands in for one, it is behind, callers wait, or it hears of nobody.
+// whyFollow returns the reason for this instance to follow the store: it is one of the fleet's
+// followers or replaces a lost one, it is behind a peer, callers wait, it is isolated from its
+// peers, or no instance has got an answer from the store for long.
 func (n *Node) whyFollow() followCause {
 	f := &n.follow
 	switch {
@@ -140,16 +147,16 @@
 	}
 }
 
-// standing is this instance's place among those that can follow.
+// standing returns this instance's rank among those that are not lost.
 func (n *Node) standing() int {
 	f := &n.follow
-	place := 0
+	rank := 0
 	for _, name := range f.ranking[:f.rank] {
 		if !n.lostFollower(name) {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 func (n *Node) lostFollower(name string) bool {
@@ -157,11 +164,11 @@
 	return known && n.now.Sub(at) < lossLife
 }
 
-// noteLostFollowers notes the followers among the neighbours that are silent for longer
-// than followers are, and this instance itself if the store does not answer it. A
-// follower that is killed or cut off must be replaced before the news that it misses is
-// owed to the fleet. Peers that hear loads alone are left out: while instances come and
-// go, the two ends may disagree for seconds about that link.
+// noteLostFollowers records neighbouring followers that are silent for longer than a follower
+// may be, and this instance itself if its calls to the store fail. A follower that is killed or
+// cut off must be replaced before the changes that it misses are overdue in the fleet. Peers
+// that receive only loads are left out: while instances join and leave, the two ends may
+// disagree about that link for seconds.
 func (n *Node) noteLostFollowers() {
 	f := &n.follow
 	for _, name := range f.ranking[:min(len(f.ranking), f.wanted)] {
@@ -175,7 +182,7 @@
 	}
 }
 
-// learnLoss takes a word on a follower that is lost; the first one is passed on at once.
+// learnLoss records a lost follower. The first report is sent to the peers at once.
 func (n *Node) learnLoss(name string, at time.Time) {
 	if !n.lostFollower(name) && n.now.Sub(at) < lossLife {
 		for _, p := range n.peers.byName {
@@ -186,10 +193,10 @@
 	n.follow.lost[name] = later(n.follow.lost[name], at)
 }
 
-// beats tells whether the neighbours count on a digest of this instance in each beat.
+// beats reports whether this instance's neighbours expect its digests at the follower interval.
 func (n *Node) beats() bool { return n.follow.rank < n.follow.wanted || n.follows() }
 
-// followerBeat is the longest pause between digests of an instance that follows the store.
+// followerBeat returns the maximum interval between a follower's digests.
 func (n *Node) followerBeat() time.Duration {
 	if n.apart() {
 		return hopBeat
@@ -197,11 +204,11 @@
 	return meshBeat
 }
 
-// followerSilentAfter is the silence after which a neighbour that beats is lost: two
-// beats, of which one may be late.
+// followerSilentAfter returns the silence after which a neighbouring follower counts as lost:
+// two intervals, since one digest may be late.
 func (n *Node) followerSilentAfter() time.Duration { return 2 * n.followerBeat() }
 
-// addLosses tells a peer of lost followers, time and again while they are lost.
+// addLosses adds the lost followers to a peer's digest, repeatedly while they are lost.
 func (n *Node) addLosses(p *peerState, d *Digest) {
 	if n.now.Before(p.lossesDue) {
 		return
@@ -216,14 +223,15 @@
 	}
 }
 
-// peerLosses takes what a peer says of lost followers.
+// peerLosses merges the lost followers reported by a peer.
 func (n *Node) peerLosses(d *Digest) {
-	for _, l := range d.LostFollowers {
-		n.learnLoss(l.Name, n.now.Add(-l.Age))
+	for _, loss := range d.LostFollowers {
+		n.learnLoss(loss.Name, n.now.Add(-loss.Age))
 	}
 }
 
-// followersAfter is how many instances follow the store after a silence of it.
+// followersAfter returns the number of followers after the store has been silent for the given
+// time.
 func followersAfter(wanted int, silence time.Duration) int {
 	if silence <= followerSilence {
 		return 0
@@ -232,8 +240,8 @@
 	return wanted << min(doublings, mostDoublings)
 }
 
-// joining tells whether this instance started a moment ago and cannot know its rank: it
-// has not read the list since those that started with it are there.
+// joining reports whether this instance has just started and cannot know its rank yet, because
+// it has not read the list since the other starting instances appeared in it.
 func (n *Node) joining() bool {
 	settled := n.startedAt.Add(joinSettle)
 	if n.members.failures > 0 {
@@ -242,13 +250,14 @@
 	return n.members.read.Before(settled)
 }
 
-// hearsNobody tells whether there are others but none has said anything of late.
+// hearsNobody reports whether this instance has received no message from any peer for so long
+// that it considers itself cut off from them.
 func (n *Node) hearsNobody() bool {
 	return n.now.Sub(later(n.members.lastHeard, n.startedAt)) > hearsNobodyAfter
 }
 
-// storeHeardAt is when the store last answered any instance, as far as known here, or
-// when this one started.
+// storeHeardAt returns the time when the store last answered any instance, as far as this one
+// knows, or the start time of this instance if that is later.
 func (n *Node) storeHeardAt() time.Time {
 	return later(later(n.follow.heardAt, n.follow.othersHeardAt), n.startedAt)
 }
@@ -260,8 +269,8 @@
 	return b
 }
 
-// lagging tells whether something that a peer has known for too long has not reached
-// this instance: an entry's change, or a newer configuration.
+// lagging reports whether a peer has had a newer entry or configuration for longer than
+// tolerated, and this instance still lacks it.
 func (n *Node) lagging() bool {
 	f := &n.follow
 	if n.backends.has() >= f.aheadEntry && n.generation() >= f.aheadGeneration {
@@ -274,44 +283,43 @@
 	return !f.aheadSince.IsZero() && n.now.Sub(f.aheadSince) > tolerance
 }
 
-// knowsTooLittle tells whether this instance cannot serve yet.
+// knowsTooLittle reports whether this instance lacks data that it needs to serve requests.
 func (n *Node) knowsTooLittle() bool {
 	return n.snapshot == nil || n.snapshot.FromPlatform() && n.backends.complete == 0
 }
 
-// callersWait tells whether callers wait for what the store would tell.
-// Where nobody sends them elsewhere, as after a loss of all power, they are served
-// sooner by a call of its own than by what peers gather first.
+// callersWait reports whether callers wait for data from the store. If callers are not directed
+// to another instance, as after a power failure of the whole fleet, a call to the store serves
+// them sooner than data that peers must collect first.
 func (n *Node) callersWait() bool {
 	at := n.follow.callerAt
 	return !at.IsZero() && n.now.Sub(at) < callersWaitFor && n.knowsTooLittle()
 }
 
-// callerLacks notes that a caller waits, or is refused, for want of what this instance
-// does not know yet.
+// callerLacks records that a caller waits, or is refused, because this instance lacks data.
 func (n *Node) callerLacks() {
 	if n.knowsTooLittle() {
 		n.follow.callerAt = n.now
 	}
 }
 
-// storeFails tells whether the last call on the store failed. One call then probes it:
-// whatever else is wanted of it waits for that one's answer.
+// storeFails reports whether the last call to the store failed. A single call then probes the
+// store, and all others wait for its result.
 func (n *Node) storeFails() bool { return n.follow.failedAt.After(n.follow.heardAt) }
 
-// storeAnswered notes that a read or a watch succeeded here.
+// storeAnswered records a successful read or watch.
 func (n *Node) storeAnswered() { n.follow.heardAt = n.now }
 
-// storeFailed notes that one failed.
+// storeFailed records a failed read or watch.
 func (n *Node) storeFailed() { n.follow.failedAt = n.now }
 
-// watchPacing spaces the ends of one watch.
+// watchPacing limits the rate of a watch's results.
 type watchPacing struct {
 	changedAt time.Time
 	pause     time.Duration
 }
 
-// after is the pause after a change that a watch brought now.
+// after returns the pause before the next call when a watch has returned a change.
 func (w *watchPacing) after(now time.Time) time.Duration {
 	if now.Sub(w.changedAt) > watchCalm {
 		w.pause = 0
@@ -321,13 +329,13 @@
 	return w.pause
 }
 
-// rankFollowers ranks the instances: the first of each zone come before the second
-// ones, so that the followers stand in as many zones as there are.
+// rankFollowers ranks the instances. The first instances of all zones come before the second
+// ones, so that the followers are spread over as many zones as possible.
 func (n *Node) rankFollowers(instances []mesh.Member) {
 	type candidate struct {
-		name  string
-		place int
-		zone  uint64
+		name    string
+		rank    int
+		zoneKey uint64
 	}
 	zones := make(map[string][]string)
 	for _, m := range instances {
@@ -336,12 +344,12 @@
 	var ranking []candidate
 	for zone, names := range zones {
 		key := rendezvous.Hash("follow/" + zone)
-		for place, name := range rendezvous.Top(key, names, len(names)) {
-			ranking = append(ranking, candidate{name, place, key})
+		for rank, name := range rendezvous.Top(key, names, len(names)) {
+			ranking = append(ranking, candidate{name, rank, key})
 		}
 	}
 	slices.SortFunc(ranking, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.zone, b.zone), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.zoneKey, b.zoneKey), cmp.Compare(a.name, b.name))
 	})
 	f := &n.follow
 	f.ranking = f.ranking[:0]
@@ -352,7 +360,7 @@
 	f.wanted = max(leastFollowers, len(zones))
 }
 
-// storeAge is how long ago the store last answered any instance, or 0 if it never did.
+// storeAge returns the time since the store last answered any instance, or 0 if it never did.
 func (n *Node) storeAge() time.Duration {
 	at := later(n.follow.heardAt, n.follow.othersHeardAt)
 	if at.IsZero() {
@@ -361,16 +369,15 @@
 	return max(time.Millisecond, n.now.Sub(at))
 }
 
-// peerStoreAge takes what a peer says of the same.
+// peerStoreAge merges the store age reported by a peer.
 func (n *Node) peerStoreAge(age time.Duration) {
 	if age > 0 {
 		n.follow.othersHeardAt = later(n.follow.othersHeardAt, n.now.Add(-age))
 	}
 }
 
-// compareWithPeer notes what a peer knows that this instance does not. A peer that is
-// merely further in the store's revisions, with no change of an entry between, is not
-// ahead.
+// compareWithPeer records that a peer has a newer entry or configuration. A peer with only a
+// higher store revision, and no entry changed since, is not ahead.
 func (n *Node) compareWithPeer(d *Digest) {
 	f := &n.follow
 	if !f.aheadSince.IsZero() || d.EntriesUpTo <= n.backends.has() && d.Generation <= n.generation() {
--- a/internal/core/followers_test.go
+++ b/internal/core/followers_test.go
@@ -10,7 +10,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// followers are the instances that watch the store, found by what they ask it.
+// followers returns the instances that watch the store, determined from their calls.
 func (f *fleet) followers() map[string]bool {
 	for _, m := range f.members {
 		m.watches = 0
@@ -26,10 +26,10 @@
 	return list
 }
 
-// Every instance that follows the store is cut off at the same moment, and right then
-// the operators change the configuration and an engine begins to leave. Nobody else had
-// asked the store, and sent requests by the old text and to the leaving engine for ten
-// seconds, where the operators allow two in a small fleet and three in a large one.
+// All followers are cut off at the same moment, while the operators change the configuration
+// and an engine starts to leave. No other instance called the store, so requests used the old
+// configuration and the leaving engine for ten seconds. Operators allow two in a small fleet
+// and three in a large one.
 func TestNewsGoesOnWhenAllFollowersAreCutOff(t *testing.T) {
 	for _, size := range []struct {
 		instances, zones int
@@ -50,19 +50,19 @@
 			for _, m := range f.members {
 				require.True(t, lost[m.name] || m.generation == 2, "%s has the change", m.name)
 			}
-			t.Logf("followers %v cut off: heard by all others after %v", lost, took)
+			t.Logf("followers %v cut off: all others updated after %v", lost, took)
 			require.Less(t, took+100*time.Millisecond, size.within)
 		})
 	}
 }
 
-// The store answers nobody for a quarter of a minute. Each instance that asks in vain
-// costs its operators a call a second, so only a few do, and all know again what changed
-// once it is back.
+// The store answers no instance for 10 seconds. Each instance that calls it in vain costs its
+// operators one call a second, so only a few may do so. All instances must learn the changes
+// once the store is back.
 func TestAnOutageIsNotAskedAboutByAll(t *testing.T) {
 	f := settledFleet(t, 60, 4, 12)
 	f.run(10 * time.Second)
-	calm := f.price
+	normalCalls := f.price
 	f.price = 0
 	f.store.down = true
 	f.run(9 * time.Second)
@@ -70,15 +70,15 @@
 	f.run(time.Second)
 	f.store.down = false
 	took := f.heardBy(t, 11, everyone)
-	t.Logf("%.0f calls in ten seconds of an outage, %.0f in ten calm ones; heard %v after its end", f.price, calm, took)
+	t.Logf("%.0f calls in ten seconds of outage, %.0f in ten normal seconds; all instances updated %v after its end", f.price, normalCalls, took)
 	require.Less(t, took, 2*time.Second)
-	require.Less(t, f.price, calm+300)
+	require.Less(t, f.price, normalCalls+300)
 }
 
-// The store is away for some seconds and loses the leases of all engines. Those that are
-// alive are back within two seconds of its return, and the followers, which saw the
-// outage, wait for them; they must not tell the others meanwhile that the engines are
-// gone, or most of the fleet refuses what it could serve.
+// The store is down for some seconds and loses the leases of all engines. Engines that are
+// alive renew them within two seconds after its return. The followers saw the outage and wait
+// for that. They must not report the engines as gone meanwhile, or most of the fleet would
+// refuse requests that it could serve.
 func TestNobodyLeavesEnginesThatLapseWithTheStore(t *testing.T) {
 	f := settledFleet(t, 18, 5, 6)
 	f.store.down = true
@@ -97,12 +97,12 @@
 		require.Equal(t, 18, f.serving(6))
 	}
 	f.store.putEntry("engine-3", nil)
-	require.Less(t, f.heardBy(t, 5, everyone), 2*time.Second, "an engine that is gone is left")
+	require.Less(t, f.heardBy(t, 5, everyone), 2*time.Second, "a removed engine is no longer used")
 }
 
-// Some machines are cut off from the store, and their calls fail for seconds. An engine
-// that leaves without a word, by the end of its entry, must be left as soon as ever: the
-// store was never away. The others took its entry for one that had lapsed.
+// Some instances are cut off from the store, and their calls fail for seconds. When an engine's
+// entry then ends without a drain notice, the others must stop using the engine without delay,
+// because the store was never down. They used to treat the entry as lapsed in an outage.
 func TestOthersFailuresDelayNoRemoval(t *testing.T) {
 	f := settledFleet(t, 60, 4, 12)
 	f.cutOff = func(m *member) bool { return m.zone == "zone-1" }
--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -10,24 +10,25 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/mesh"
 )
 
-// neighbour tells whether a peer belongs to this instance's layout.
+// neighbour reports whether a peer is in this instance's layout.
 func (n *Node) neighbour(name string) bool {
 	return n.peers.inLayout[name]
 }
 
-// inOwnZone tells whether another instance stands in this one's availability zone.
+// inOwnZone reports whether another instance is in this instance's availability zone.
 func (n *Node) inOwnZone(name string) bool {
 	in := n.view.Get(name)
 	return in != nil && in.Zone == n.settings.Zone
 }
 
-// hearsFacts tells whether a peer of the layout is told more than the loads of its zone
-// and this one. Each fact would otherwise reach each zone over some dozens of links.
+// hearsFacts reports whether a peer in the layout is sent facts in addition to loads. If all of
+// them were, each fact would reach each zone over dozens of links.
 func (n *Node) hearsFacts(name string) bool {
 	return n.neighbour(name) && (!n.apart() || n.inOwnZone(name) || slices.Contains(n.peers.bridges, name))
 }
 
-// refreshLayout takes changes of the list of instances and of who is silent.
+// refreshLayout updates the layout after changes to the list of instances or to the set of
+// silent peers.
 func (n *Node) refreshLayout() {
 	if n.fleetChanged() {
 		n.peers.layoutAt = n.now
@@ -40,7 +41,7 @@
 	n.linkPeers(l.Peers(n.silent))
 }
 
-// fleetChanged takes the list of instances anew, and tells whether it is another one.
+// fleetChanged rereads the list of instances from the view and reports whether it changed.
 func (n *Node) fleetChanged() bool {
 	seq := n.view.Seq()
 	if n.peers.layout != nil && seq == n.peers.membersSeq {
@@ -55,9 +56,9 @@
 	return true
 }
 
-// askForLink wants a link to an instance outside the layout: to the owner of a
-// range of claims, or to whoever asked it. The message that brings it about is
-// lost; its sender asks again or does without the owner.
+// askForLink requests a link to an instance outside the layout: to the owner of a claim range,
+// or to an instance that sent this one a claim. The message that triggers the request is lost.
+// Its sender retries or continues without the owner.
 func (n *Node) askForLink(name string) {
 	if n.peers.inLayout[name] || n.view.Get(name) == nil {
 		return
@@ -68,14 +69,13 @@
 	n.peers.asked[name] = n.now.Add(askedFor)
 }
 
-// outsider tells whether a peer is one that this instance knows of but that the
-// layout does not join to it.
+// outsider reports whether a known peer is outside the layout.
 func (n *Node) outsider(name string) bool {
 	return !n.peers.inLayout[name] && n.view.Get(name) != nil
 }
 
-// fleet lists the entry instances that are not gone, sorted by name. Leaving ones
-// are among them: they still have requests at the backend servers.
+// fleet returns the instances that are not gone, sorted by name. Leaving instances are
+// included, because they still have requests in progress at the backend servers.
 func (n *Node) fleet() []mesh.Member {
 	members := []mesh.Member{{Name: n.settings.Name, Zone: n.settings.Zone}}
 	n.view.Each(func(in *membership.Instance) {
@@ -87,15 +87,15 @@
 	return members
 }
 
-// linkPeers asks for the links of the layout if they are not the ones held.
+// linkPeers requests the links of the layout if they differ from the current ones.
 func (n *Node) linkPeers(names []string) {
-	before := n.peers.inLayout
+	previous := n.peers.inLayout
 	n.peers.inLayout = make(map[string]bool, len(names))
 	for _, name := range names {
 		n.peers.inLayout[name] = true
-		if !before[name] {
-			// It may have been linked from outside the layout, where it heard little: it
-			// would take this instance for silent before its next digest came.
+		if !previous[name] {
+			// A peer that was linked from outside the layout received few digests. It would
+			// consider this instance silent before the next one is due.
 			n.peer(name).due = n.now
 		}
 	}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -8,12 +8,12 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// Subject is what an instance has learnt something of.
+// Subject is the kind of object whose state has changed.
 type Subject string
 
-// The subjects.
+// Values of Subject.
 const (
-	// OfBackend is a backend server: its state, and whether it can be reached.
+	// OfBackend is a backend server: its state, and whether it is reachable.
 	OfBackend Subject = "backend server"
 	// OfInstance is another instance of the fleet.
 	OfInstance Subject = "instance"
@@ -25,34 +25,35 @@
 	OfZone Subject = "zone"
 )
 
-// Learned says that this instance believes something else than before, for the log:
-// what a later decision rests on can be found there.
+// Learned reports that this instance's view of an object has changed. It is written to the log,
+// so that the facts behind later decisions can be looked up there.
 type Learned struct {
 	Subject Subject `json:"subject"`
 	Name    string  `json:"name,omitempty"`
-	// Names are those of many of which the same was learnt at once.
+	// Names replaces Name if several objects change to the same state at once.
 	Names []string `json:"names,omitempty"`
-	// State is the new belief.
+	// State is the new state.
 	State string `json:"state"`
-	// Service and Address are those of a backend server.
+	// Service and Address are set for a backend server.
 	Service string `json:"service,omitempty"`
 	Address string `json:"address,omitempty"`
-	// Revision is the store's revision that tells so, where it was an entry, and
-	// Incarnation that of the process that is meant.
+	// Revision is the store revision of the entry that reports the change, if any. Incarnation
+	// is that of the process concerned.
 	Revision    uint64 `json:"revision,omitempty"`
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Cause is what tells so.
+	// Cause is the reason for the change.
 	Cause string `json:"cause,omitempty"`
 }
 
-// EffectName names the effect in session files.
+// EffectName returns the effect's name in session files.
 func (Learned) EffectName() string { return "learned" }
 
-// manyMembers is from how many on one line tells of all that a single call or message
-// taught: a start would write hundreds, while callers wait.
+// manyMembers is the number of changes from one call or message from which they are logged as
+// one line per state. At startup there can be hundreds, and callers wait while the lines are
+// written.
 const manyMembers = 8
 
-// learnedMembers says what is now believed of instances and backend servers.
+// learnedMembers logs the new states of instances and backend servers.
 func (n *Node) learnedMembers(names []string) {
 	if len(names) < manyMembers {
 		for _, name := range names {
@@ -80,7 +81,7 @@
 	}
 }
 
-// learnedMember says what is now believed of an instance or a backend server.
+// learnedMember logs the new state of an instance or backend server.
 func (n *Node) learnedMember(name string) {
 	in := n.view.Get(name)
 	if in == nil {
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -10,32 +10,32 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// An instance starts among hundreds and reads them all with one call, while its first
-// callers wait. A line for each of them took its processor for a tenth of a second; an
-// operator who asks since when it knew an instance must still find the name.
+// A starting instance reads hundreds of members with one call while its first callers wait. One
+// log line per member took a tenth of a second of processor time. Operators must still find in
+// the log when the instance learned of a member, so the line must hold every name.
 func TestManyMembersLearntAtOnceAreOneLine(t *testing.T) {
 	s := newSolo(t, nil)
-	// hear has a peer tell of engines, and returns the lines that this brings.
-	hear := func(from, to int) []core.Learned {
+	// offerEntries sends engine entries from a peer and returns the resulting changes.
+	offerEntries := func(from, to int) []core.Learned {
 		offer := &core.EntriesOffer{To: uint64(to)}
 		for i := from; i < to; i++ {
 			engine := engineEntry(i, membership.Live)
 			offer.Entries = append(offer.Entries, core.BackendEntry{Name: engine.Name, Revision: uint64(i + 1), Backend: engine})
 		}
-		var lines []core.Learned
+		var changes []core.Learned
 		for _, effect := range s.handle(core.PeerReceived{From: "entry-1", Message: core.PeerMessage{EntriesOffer: offer}}) {
 			if l, ok := effect.(core.Learned); ok {
-				lines = append(lines, l)
+				changes = append(changes, l)
 			}
 		}
-		return lines
+		return changes
 	}
-	many := hear(0, 100)
-	require.Len(t, many, 1)
-	require.Len(t, many[0].Names, 100)
-	require.Contains(t, many[0].Names, "engine-42")
-	require.Equal(t, string(membership.Live), many[0].State)
-	few := hear(100, 103)
-	require.Len(t, few, 3)
-	require.Equal(t, fmt.Sprint("engine-", 100), few[0].Name)
+	grouped := offerEntries(0, 100)
+	require.Len(t, grouped, 1)
+	require.Len(t, grouped[0].Names, 100)
+	require.Contains(t, grouped[0].Names, "engine-42")
+	require.Equal(t, string(membership.Live), grouped[0].State)
+	single := offerEntries(100, 103)
+	require.Len(t, single, 3)
+	require.Equal(t, fmt.Sprint("engine-", 100), single[0].Name)
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -9,40 +9,45 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/mesh"
 )
 
-// How often the platform's instance list is read.
+// Intervals and limits for reading the platform's instance list.
 const (
-	// listInterval is the interval of the readers, those that follow the store.
+	// listInterval is the interval of the instances that follow the store.
 	listInterval = 2 * time.Second
-	// listSlowInterval is that of the others, which hear of changes from peers and
-	// read the list only to verify. It is spread by half to either side.
+	// listSlowInterval is the mean interval of the other instances. They receive changes from
+	// peers and read the list only to verify them. Each draws its interval at random from half
+	// to one and a half of this value.
 	listSlowInterval = 15 * time.Second
-	// listMaxDelay bounds the back-off after failed reads.
+	// listMaxDelay is the maximum backoff delay after failed reads.
 	listMaxDelay = 8 * time.Second
-	// peerSilence is how long all other readers may say nothing before an
-	// instance reads the list as if it were one.
+	// peerSilence is the time after the last message from a peer within which the peer counts
+	// as reachable.
 	peerSilence = 5 * time.Second
-	// heardKeep is how long it is remembered when a peer was last heard.
+	// heardKeep is how long the time of a peer's last message is kept.
 	heardKeep = time.Hour
-	// expireInterval is how often old tombstones are looked for.
+	// expireInterval is the interval between checks for expired tombstones in the membership
+	// view.
 	expireInterval = time.Minute
 )
 
-// memberState paces the reading of the platform's instance list and keeps what is
-// derived from the view.
+// memberState schedules the reads of the platform's instance list and caches data derived from
+// the membership view.
 type memberState struct {
-	// list is the read under way; read is when the last one succeeded.
+	// list identifies the request in progress, 0 if there is none.
 	list OpID
+	// read is the time of the last success.
 	read time.Time
+	// slow is the interval before the next request if this instance does not follow the store.
 	slow time.Duration
-	// failures counts failed reads in a row; the next is due at retryAt.
+	// failures counts consecutive failed reads. The next attempt is due at retryAt.
 	failures int
 	retryAt  time.Time
+	// expireAt is the time of the next check for expired tombstones.
 	expireAt time.Time
-	// heard is when each peer last sent anything.
+	// heard maps each peer to the time of its last message.
 	heard map[string]time.Time
-	// entries caches the sorted names of entry instances; nil after a change.
+	// entries caches the sorted names of the live instances. It is nil after a change.
 	entries []string
-	// lastHeard is when any peer last sent anything.
+	// lastHeard is the time of the last message from any peer.
 	lastHeard time.Time
 }
 
@@ -69,8 +74,9 @@
 	n.emit(ListInstances{Op: s.list})
 }
 
-// listDue is when the list is to be read next. It is taken anew on each tick, so
-// that an instance whose readers fall silent does not sleep out its long interval.
+// listDue returns the time of the next read of the instance list. It is computed on every tick,
+// so that an instance that loses contact with the followers need not wait for the end of its
+// long interval.
 func (n *Node) listDue() time.Time {
 	s := &n.members
 	switch {
@@ -85,14 +91,15 @@
 	}
 }
 
-// readsList tells whether this instance reads the list at the short interval: it is one
-// of those that follow the store, or hears from nobody and so would miss what they learn.
+// readsList reports whether this instance reads the list at the short interval: either it is
+// one of the followers of the store, or it receives no messages from peers and would miss the
+// changes that they learn of.
 func (n *Node) readsList() bool {
 	n.entries()
 	return n.follow.rank < n.follow.wanted || n.hearsNobody()
 }
 
-// asked tells whether a read of the list has ended, well or not.
+// asked reports whether at least one read of the list has completed, successfully or not.
 func (s *memberState) asked() bool { return !s.read.IsZero() || s.failures > 0 }
 
 func (n *Node) instancesListed(e InstancesListed) {
@@ -117,14 +124,14 @@
 	}
 }
 
-// spread draws a time from half to one and a half of d, so that instances that
-// began together do not go on together.
+// spread returns a random duration from half to one and a half of d, so that instances that
+// started at the same time do not stay synchronized.
 func (n *Node) spread(d time.Duration) time.Duration {
 	return d/2 + time.Duration(n.random.Int64N(int64(d)))
 }
 
-// backOff is the spread delay after a number of failures in a row: it doubles
-// from first up to limit.
+// backOff returns the randomized delay after the given number of consecutive failures. The mean
+// doubles with each failure, from first up to limit.
 func (n *Node) backOff(first, limit time.Duration, failures int) time.Duration {
 	delay := limit
 	if failures < 16 {
@@ -133,7 +140,7 @@
 	return min(limit, n.spread(delay))
 }
 
-// backendReported takes a backend server's answer to a report poll.
+// backendReported handles a backend server's response to a report poll.
 func (n *Node) backendReported(e BackendReported) {
 	if e.Failed {
 		return
@@ -144,9 +151,9 @@
 	n.loadReported(e.Report)
 }
 
-// backendSaid takes what an ordinary answer or refusal says of its backend
-// server. A server that refuses because it drains gets no further request, though
-// the platform's list may name it live for long or be cut off.
+// backendSaid applies the report in a backend server's response or refusal. A server that
+// refuses a request because it is draining gets no further requests, even while the platform's
+// list still shows it as live or the platform is unreachable.
 func (n *Node) backendSaid(report membership.Report) {
 	if n.view.Report(n.now, report, false) {
 		n.membersChanged([]string{report.Backend})
@@ -154,21 +161,21 @@
 	n.loadReported(report)
 }
 
-// peerHeard notes that a peer sent something.
+// peerHeard records the time of a message from a peer.
 func (n *Node) peerHeard(peer string) {
 	n.members.heard[peer] = n.now
 	n.members.lastHeard = n.now
 }
 
-// learn merges a fact from any source.
+// learn merges a fact from any source into the membership view.
 func (n *Node) learn(f membership.Fact) {
 	if n.view.Learn(n.now, f) {
 		n.membersChanged([]string{f.Name})
 	}
 }
 
-// learnMembers merges lines that a peer passes on. They introduce instances that
-// this one has not seen in a list of its own, but never say what is absent.
+// learnMembers merges membership records received from a peer. They can add instances that this
+// instance has not seen in the platform's list, but never remove any.
 func (n *Node) learnMembers(list []membership.Instance) {
 	var changed []string
 	for _, in := range list {
@@ -179,8 +186,8 @@
 	n.membersChanged(changed)
 }
 
-// membersChanged brings what is derived from the view up to date with changes of
-// the named instances, and touches only the pools that these belong to.
+// membersChanged updates the data derived from the view after changes to the named instances.
+// It rebuilds only the pools that they belong to.
 func (n *Node) membersChanged(names []string) {
 	if len(names) == 0 {
 		return
@@ -196,7 +203,7 @@
 	}
 }
 
-// refreshPools builds anew the pools of the services of the named backend servers.
+// refreshPools rebuilds the pools of the services of the named backend servers.
 func (n *Node) refreshPools(names []string) {
 	var services []string
 	for _, name := range names {
@@ -217,9 +224,9 @@
 	}
 }
 
-// entries lists the entry instances that are live, this one among them, sorted by
-// name. Owners of ranges, reports and watches are ranked over it. The caller must
-// not change the list.
+// entries returns the sorted names of the live instances, including this one. The owners of
+// claim ranges, report polls and store watches are ranked over this list. The caller must not
+// modify it.
 func (n *Node) entries() []string {
 	s := &n.members
 	if s.entries != nil {
--- a/internal/core/members_test.go
+++ b/internal/core/members_test.go
@@ -15,12 +15,12 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// solo drives one node by its events in virtual time.
+// solo drives a single node with events in virtual time.
 type solo struct {
 	t    *testing.T
 	node *core.Node
 	now  time.Time
-	// list is what the platform answers; nil while it is away.
+	// list is the platform's instance list; nil while the platform is unreachable.
 	list  []membership.Instance
 	reads int
 	ids   int
@@ -43,7 +43,7 @@
 	return s
 }
 
-// handle plays an event and answers what the node asks of the platform's list.
+// handle sends an event to the node and answers its reads of the instance list.
 func (s *solo) handle(event core.Event) []core.Effect {
 	effects := append([]core.Effect(nil), s.node.Handle(s.now, event)...)
 	for _, effect := range effects {
@@ -62,7 +62,7 @@
 	}
 }
 
-// send plays a request up to its first attempt and returns the backend server.
+// send starts a request and returns the backend server of its first attempt.
 func (s *solo) send(service string) (core.RequestID, string) {
 	s.ids++
 	id := core.RequestID(fmt.Sprintf("r%d", s.ids))
@@ -97,9 +97,9 @@
 	return list
 }
 
-// An analyst's review is sent to an engine that is shutting down and is lost. The
-// engine says that it drains in a refusal, while the platform's list still names it
-// live, then the platform is cut off, then its list comes back older still.
+// An engine reports in a refusal that it is draining, while the platform's list still shows it
+// as live. The platform then becomes unreachable and returns with the old list. Requests sent
+// to the engine meanwhile would be lost.
 func TestALeavingServerGetsNoWorkThoughTheListLags(t *testing.T) {
 	s := newSolo(t, liveEngines(3))
 	require.Contains(t, s.spread("underwriting"), "engine-1")
@@ -110,30 +110,30 @@
 		Load: &membership.Report{Backend: backend, Incarnation: 1, State: membership.Leaving},
 	})
 	s.handle(core.AttemptEnded{Request: id, Attempt: 2, Outcome: retry.Answered})
-	quiet := func(what string) {
-		require.NotContains(t, s.spread("underwriting"), backend, what)
+	requireUnused := func(when string) {
+		require.NotContains(t, s.spread("underwriting"), backend, when)
 	}
-	quiet("at once")
+	requireUnused("at once")
 	s.pass(10 * time.Second)
-	quiet("the list still names it live")
+	requireUnused("the list still shows it as live")
 	s.list = nil
 	s.pass(10 * time.Minute)
-	quiet("platform cut off for ten minutes")
-	require.Len(t, s.spread("underwriting"), 2, "the others go on through the cut")
+	requireUnused("platform unreachable for ten minutes")
+	require.Len(t, s.spread("underwriting"), 2, "the other engines still serve during the outage")
 	s.list = liveEngines(3)
 	s.pass(10 * time.Second)
-	quiet("the platform came back with what was true before")
+	requireUnused("the platform returned with the old list")
 	s.handle(core.BackendReported{Report: membership.Report{Backend: backend, Incarnation: 1, State: membership.Live}})
-	quiet("a late report of the same incarnation")
+	requireUnused("a late report of the same incarnation")
 	for i := range s.list {
 		s.list[i].Incarnation = 2
 	}
 	s.pass(10 * time.Second)
-	require.Contains(t, s.spread("underwriting"), backend, "a new incarnation gets work")
+	require.Contains(t, s.spread("underwriting"), backend, "a new incarnation gets requests")
 }
 
-// A portal that only the operators' text names drains; callers go on being sent
-// there for as long as it takes to edit the text. Cause: it is in no list.
+// A backend server that is named only in the operators' configuration starts to drain. Its
+// state is in no list, so requests would be sent to it until the operators edit the text.
 func TestALeavingFixedServerGetsNoWork(t *testing.T) {
 	s := newSolo(t, liveEngines(1))
 	require.Len(t, s.spread("portal"), 2)
@@ -145,11 +145,12 @@
 	require.Len(t, s.spread("portal"), 2)
 }
 
-// An engine that restarts every minute gets its whole share at once each time, and
-// loses it again. It must come back by steps, yet serve when it is the only one.
+// An engine that restarts every minute would get its full share of requests after each start
+// and lose them again. Its share must rise in steps, but it must serve without that limit when
+// it is the only engine.
 func TestAFlappingServerComesBackBySteps(t *testing.T) {
 	s := newSolo(t, liveEngines(4))
-	busy := func() map[string]int {
+	sendConcurrently := func() map[string]int {
 		counts := make(map[string]int)
 		var ids []core.RequestID
 		for range 80 {
@@ -171,11 +172,11 @@
 		s.pass(4 * time.Second)
 	}
 	restart()
-	require.Greater(t, busy()["engine-0"], 15, "one restart")
+	require.Greater(t, sendConcurrently()["engine-0"], 15, "one restart")
 	restart()
 	var got []int
 	for range 3 {
-		got = append(got, busy()["engine-0"])
+		got = append(got, sendConcurrently()["engine-0"])
 		s.pass(10 * time.Second)
 	}
 	t.Logf("of 80 requests in progress at four engines, the flapping one got %v", got)
@@ -187,12 +188,12 @@
 	s.list = s.list[:1]
 	s.pass(2 * time.Minute)
 	restart()
-	require.Greater(t, busy()["engine-0"], 50, "alone it serves up to its limits")
+	require.Greater(t, sendConcurrently()["engine-0"], 50, "the only engine serves up to its limits")
 }
 
-// At the size of two years the list's readers alone would take a tenth of the
-// platform's reads. Few read it often; the rest read it slowly, and fast once the
-// readers fall silent.
+// At the fleet size expected in two years, reads of the instance list by all instances would be
+// a tenth of the platform's reads. Only a few instances read it often. The others read it
+// rarely, and often once they receive no messages from peers.
 func TestFewInstancesReadTheListOften(t *testing.T) {
 	const instances = 58
 	list := liveEngines(3)
@@ -202,11 +203,11 @@
 			Address: "127.0.0.1:1", Incarnation: 1, State: membership.Live,
 		})
 	}
-	reads := func(name string, heard bool) int {
+	reads := func(name string, peersReachable bool) int {
 		s := &solo{t: t, node: core.New(core.Settings{Name: name, Zone: "z", Seed: 1}), now: epoch, list: list}
 		for range 60 {
 			s.pass(time.Second)
-			for i := 0; heard && i < instances; i++ {
+			for i := 0; peersReachable && i < instances; i++ {
 				s.handle(core.PeerReceived{From: fmt.Sprintf("entry-%d", i)})
 			}
 		}
@@ -224,6 +225,6 @@
 	t.Logf("%d instances of one zone: %.1f reads a second in all", instances, float64(total)/60)
 	require.Less(t, total, 10*60, "reads of a zone in a minute")
 	for i := range instances {
-		require.Greater(t, reads(fmt.Sprintf("entry-%d", i), false), 20, "all others silent")
+		require.Greater(t, reads(fmt.Sprintf("entry-%d", i), false), 20, "no messages from peers")
 	}
 }
--- a/internal/core/news.go
+++ b/internal/core/news.go
@@ -7,15 +7,15 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// changeMark is the number of the view's last change at a time.
+// changeMark pairs a time with the view's sequence number at that time.
 type changeMark struct {
 	seq uint64
 	at  time.Time
 }
 
-// markChanges remembers how far the view's changes had come at each mark, so that
-// a peer that connects is told those which the platform's list may not show yet.
-// What the first lists brought is no news to anyone.
+// markChanges records the view's sequence number at regular intervals. A peer that connects is
+// sent the later changes, which the platform's list may not show yet. Changes from the first
+// reads of the list are not sent to any peer.
 func (n *Node) markChanges() {
 	p := &n.peers
 	if p.floor == 0 && !n.members.read.IsZero() {
@@ -29,9 +29,10 @@
 	}
 }
 
-// tellNobodyOf takes the view's changes so far as known to every peer. What an instance
-// that starts reads in its first lists is no news to those who were there, and those that
-// start with it read the same: at some hundreds of them, each told each of all others.
+// tellNobodyOf marks the view's changes up to seq as known to every peer. Running instances
+// know what a starting instance reads in its first lists, and those that start at the same time
+// read the same lists. When hundreds started together, each sent each peer the records of all
+// others.
 func (n *Node) tellNobodyOf(seq uint64) {
 	n.peers.floor = seq
 	for _, p := range n.peers.byName {
@@ -40,7 +41,8 @@
 	}
 }
 
-// toldChanges is the change up to which a peer that connects now needs no word.
+// toldChanges returns the sequence number up to which a peer that connects now needs no
+// changes.
 func (n *Node) toldChanges() uint64 {
 	if len(n.peers.marks) == 0 {
 		return n.view.Seq()
@@ -48,10 +50,10 @@
 	return max(n.peers.floor, n.peers.marks[0].seq)
 }
 
-// addMembers adds what changed in the view since the last digest to the peer.
-// Whoever learns a change tells it on, so it reaches all zones without the
-// platform. Instances that come are introduced whole, as the receiver may not
-// have read the list since; in a large fleet that waits, since most have read it by then.
+// addMembers adds the view's changes since the last digest to the peer. Every instance forwards
+// the changes that it learns, so they reach all zones without the platform. New instances are
+// sent as full records, because the receiver may not have read the list since. In a large fleet
+// they are delayed, and most receivers have read the list by then.
 func (n *Node) addMembers(p *peerState, d *Digest) {
 	for _, in := range n.changesSince(p.toldSeq) {
 		if in.State != membership.Live && !n.backends.tells(in) {
@@ -74,7 +76,7 @@
 	clear(p.introduced)
 }
 
-// changesSince lists the view's changes after one, the newest first.
+// changesSince returns the view's changes after seq, newest first.
 func (n *Node) changesSince(seq uint64) []membership.Instance {
 	changes, complete := n.view.Changes(seq, maxDigestFacts)
 	if !complete {
@@ -83,21 +85,22 @@
 	return changes
 }
 
-// hurryNews makes every peer hear at once what can't wait for its round: a
-// configuration that came into force, and that somebody is leaving or gone.
+// hurryNews schedules immediate digests to all peers for changes that cannot wait for the next
+// round: a new configuration in force, changed backend server entries, and instances that are
+// leaving or gone.
 func (n *Node) hurryNews() {
 	generation, leaving, seq := n.generation(), n.lifecycle.stopping, n.view.Seq()
-	hurry := generation != n.peers.generation || leaving != n.peers.leaving
-	hurry = hurry || n.backends.changes != n.peers.changes
+	urgent := generation != n.peers.generation || leaving != n.peers.leaving
+	urgent = urgent || n.backends.changes != n.peers.changes
 	n.peers.changes = n.backends.changes
 	if seq != n.peers.viewSeq {
 		changes, _ := n.view.Changes(n.peers.viewSeq, maxDigestFacts)
-		hurry = hurry || slices.ContainsFunc(changes, func(in membership.Instance) bool {
+		urgent = urgent || slices.ContainsFunc(changes, func(in membership.Instance) bool {
 			return in.State != membership.Live
 		})
 	}
 	n.peers.generation, n.peers.leaving, n.peers.viewSeq = generation, leaving, seq
-	if hurry {
+	if urgent {
 		n.hurryPeers()
 	}
 }
--- a/internal/core/peermsg.go
+++ b/internal/core/peermsg.go
@@ -9,8 +9,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// PeerMessage is what one instance tells another. At most one field is set
-// beside Digest; package peer carries it as protobuf.
+// PeerMessage is a message from one instance to another. At most one field is set besides
+// Digest. Package peer encodes it as protobuf.
 type PeerMessage struct {
 	Digest       *Digest       `json:"digest,omitempty"`
 	ConfigOffer  *ConfigOffer  `json:"config_offer,omitempty"`
@@ -22,94 +22,95 @@
 	ClaimReply    *claims.Reply   `json:"claim_reply,omitempty"`
 }
 
-// Digest is what an instance tells its peers each round: what it knows that they
-// may not.
+// Digest is the message that an instance sends its peers each round, with changes that they may
+// not know yet.
 type Digest struct {
-	// Incarnation is the sender's; a digest of an earlier one is ignored.
+	// Incarnation is the sender's. A digest from an earlier incarnation is ignored.
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Seq numbers the sender's digests to this peer, from 1 on, so that one that
-	// comes twice, late or never is noticed.
+	// Seq numbers the sender's digests to this peer from 1, so that duplicate, late and lost
+	// ones are detected.
 	Seq uint64 `json:"seq,omitempty"`
-	// At is the sender's clock; only differences of one sender's are compared.
+	// At is the sender's clock. Only times from the same sender are compared.
 	At time.Time `json:"at"`
-	// Generation is the configuration in force at the sender.
+	// Generation is the generation of the configuration in force at the sender.
 	Generation uint64 `json:"generation"`
-	// Leaving says that the sender has begun its graceful shutdown.
+	// Leaving is set once the sender has begun its graceful shutdown.
 	Leaving bool `json:"leaving,omitempty"`
-	// Resync asks the receiver for a full digest, because one was missed.
+	// Resync asks the receiver for a full digest, because the sender missed one.
 	Resync bool `json:"resync,omitempty"`
-	// WantMembers asks the receiver for every instance it knows, because the
-	// sender has not been able to read the platform's list.
+	// WantMembers asks the receiver for all instances that it knows, because the sender could
+	// not read the platform's list.
 	WantMembers bool `json:"want_members,omitempty"`
-	// Loads are the sender's own requests in progress by backend server. In this and
-	// the next two lists a backend server left out has not changed since the last
-	// digest to this peer, or has none if Full.
+	// Loads are the sender's own requests in progress by backend server. A backend server that
+	// is missing from this list or the next two is unchanged since the last digest to this
+	// peer, or has no requests if Full is set.
 	Loads []load.Count `json:"loads,omitempty"`
-	// RowSums are what the sender's row has in progress, told to the heads of the same
-	// slice in other rows, or what its zone has, told to one in another zone.
+	// RowSums are the requests in progress of the sender's row, sent to the heads of the same
+	// slice in other rows, or those of its zone, sent to an instance in another zone.
 	RowSums []load.Count `json:"row_sums,omitempty"`
-	// Totals are what the sender has heard of and the receiver has not, told to the mates
-	// of its row. Nobody adds them up again, so no load can go round.
+	// Totals are the loads that the sender knows and the receiver may not, sent to the sender's
+	// mates in its row. The receiver does not include them in its own sums, so loads cannot
+	// circulate.
 	Totals []load.Count `json:"totals,omitempty"`
-	// Full says that the lists leave nothing out.
+	// Full is set if the lists are complete.
 	Full bool `json:"full,omitempty"`
-	// Reports are backend servers' reports that the sender polled itself.
+	// Reports are the backend servers' reports that the sender received itself.
 	Reports []membership.Report `json:"reports,omitempty"`
-	// EntriesUpTo is the revision of the newest of the backend servers' entries up to
-	// which the sender has missed none.
+	// EntriesUpTo is the revision of the newest backend server entry that the sender has,
+	// provided that it has missed none before.
 	EntriesUpTo uint64 `json:"entries_up_to,omitempty"`
-	// StoreAge is how long ago the store last answered any instance, as far as the
-	// sender knows; 0 is never.
+	// StoreAge is the time since the store last answered any instance, as far as the sender
+	// knows. 0 means never.
 	StoreAge time.Duration `json:"store_age,omitempty"`
-	// LostFollowers are those of the store's followers that cannot follow it.
+	// LostFollowers are followers that cannot reach the store or are silent.
 	LostFollowers []FollowerLoss `json:"lost_followers,omitempty"`
-	// Answers are the sender's counts of answers since its last digest to this peer, for
-	// backend servers with failures among them.
+	// Answers are the sender's counts of answers since its last digest to this peer, only for
+	// backend servers with failures.
 	Answers []BackendAnswers `json:"answers,omitempty"`
-	// Facts are changes of membership that the sender learnt.
+	// Facts are membership changes that the sender learned.
 	Facts []membership.Fact `json:"facts,omitempty"`
-	// Members are instances that the receiver may not have seen in a list.
+	// Members are instances that the receiver may not have seen in the platform's list.
 	Members []membership.Instance `json:"members,omitempty"`
 }
 
-// BackendAnswers counts the answers of one backend server.
+// BackendAnswers holds the answer counts of one backend server.
 type BackendAnswers struct {
 	Backend  string `json:"backend"`
 	Answers  int    `json:"answers"`
 	Failures int    `json:"failures"`
 }
 
-// FollowerLoss says that a follower of the store could not follow it, or was silent, Age
-// ago.
+// FollowerLoss reports that a follower was unable to reach the store, or silent, the duration
+// Age ago.
 type FollowerLoss struct {
 	Name string        `json:"name"`
 	Age  time.Duration `json:"age"`
 }
 
-// ConfigOffer passes a configuration on.
+// ConfigOffer sends a configuration to a peer.
 type ConfigOffer struct {
 	Envelope config.Envelope `json:"envelope"`
-	// Text is what the envelope's text says, where that is of the platform's own form and
-	// the outside has read it; nil where the core is to read it.
+	// Text is the parsed form of the envelope's text, if the text is in the platform's format
+	// and was parsed outside the core. If it is nil, the core parses the text.
 	Text *config.Text `json:"-"`
 }
 
-// ConfigWanted asks a peer for the configuration it has in force.
+// ConfigWanted requests the configuration in force at a peer.
 type ConfigWanted struct {
-	// Above is the generation that the asker has.
+	// Above is the generation that the requester has.
 	Above uint64 `json:"above"`
 }
 
-// EntriesOffer passes on all changes of the backend servers' entries after the revision
-// From, up to To.
+// EntriesOffer carries all changes of backend server entries after the revision From, up to and
+// including To.
 type EntriesOffer struct {
 	From    uint64         `json:"from"`
 	To      uint64         `json:"to"`
 	Entries []BackendEntry `json:"entries"`
 }
 
-// EntriesWanted asks a peer for the changes of entries that the asker has missed.
+// EntriesWanted requests the changes of entries that the requester has missed.
 type EntriesWanted struct {
-	// Above is the revision up to which the asker has missed none.
+	// Above is the revision up to which the requester has missed no change.
 	Above uint64 `json:"above"`
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -12,94 +12,106 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/sums"
 )
 
-// Times of the talk between instances.
+// Intervals and timeouts of the communication between instances.
 const (
-	// Changed loads go out this often in a full mesh, and as seldom as that where bytes
-	// are short.
+	// meshRound is the interval between digests with changed loads in a full mesh. It grows up
+	// to longMeshRound when the byte budget is short.
 	meshRound, longMeshRound = 500 * time.Millisecond, time.Second
-	// The same where loads are added up on their way. There the mean is larger, so that a
-	// count ages better.
+	// rowRound and longRowRound are the same interval where loads are aggregated on the way.
+	// The mean is longer there, so that counts age better.
 	rowRound, longRowRound = time.Second, 2 * time.Second
-	// sessionRound is the least where sessions are served: their requests go to engines of
-	// all zones, which fill within a second, and a load takes four hops.
+	// sessionRound is the minimum interval where sessions are served. Their requests go to
+	// engines of all zones, which fill up within a second, while a load takes four hops to
+	// reach all instances.
 	sessionRound = 250 * time.Millisecond
-	// introduceEvery is how often a large fleet's instances introduce those that came.
-	// Most of their peers read of them in the platform's list before.
+	// introduceEvery is the interval at which the instances of a large fleet send each other
+	// the records of new members. Most peers have read them in the platform's list by then.
 	introduceEvery = 3 * time.Second
-	// outsideRound is the pause between digests to a peer outside the layout.
+	// outsideRound is the interval between digests to a peer outside the layout.
 	outsideRound = 10 * time.Second
-	// askedFor is how long a link outside the layout is held after its last use.
+	// askedFor is how long a link to a peer outside the layout is kept after its last use.
 	askedFor = time.Minute
-	// heartbeat is the longest pause between digests to a peer.
+	// heartbeat is the maximum interval between digests to a peer.
 	heartbeat = 2 * time.Second
-	// silentAfter is when a peer's duties pass on: two heartbeats were missed.
+	// silentAfter is the silence after which other instances take over a peer's duties: two
+	// missed heartbeats.
 	silentAfter = 5 * time.Second
-	// forgetAfter is when a silent peer's loads are dropped: late enough that
-	// whoever took over its sums has spoken. Requests that are still at work then
-	// show in the backend servers' own reports.
+	// forgetAfter is the silence after which a peer's loads are dropped. By then the instance
+	// that took over its sums has sent its first digests, and requests still in progress show
+	// up in the backend servers' own reports.
 	forgetAfter = 12 * time.Second
-	// handover is how long what the former layout told still counts after a change.
-	// For seconds instances lay the fleet out by different lists, and a slice's new head
-	// needs up to four rounds to gather its sums. Until then its servers must not look
-	// idle, or all would send there; counted twice, they get less work for so long, which
-	// does less harm.
+	// handover is how long loads received under the previous layout still count after a layout
+	// change. For some seconds instances compute their layouts from different lists, and the
+	// new head of a slice needs up to four rounds to collect its sums. During that time the
+	// slice's servers must not look idle, or all instances would send requests to them. Some
+	// loads are counted twice meanwhile. Their servers then get too few requests, which is the
+	// lesser harm.
 	handover = 6 * time.Second
-	// refreshEvery is the mean time between full digests to a peer.
+	// refreshEvery is the mean interval between full digests to a peer.
 	refreshEvery = time.Minute
-	// layoutEvery is how often the list of instances is compared with the layout.
+	// layoutEvery is the interval at which the layout is checked against the list of instances.
 	layoutEvery = 500 * time.Millisecond
-	// wantedPause is the wait before the same generation is asked for again, and
-	// maxWantedPause that to which it grows.
-	wantedPause    = time.Second
+	// wantedPause is the delay before the same generation is requested again. It doubles with
+	// each request.
+	wantedPause = time.Second
+	// maxWantedPause is the maximum delay between requests for the same item.
 	maxWantedPause = time.Minute
 )
 
-// Bounds of what waits for one peer.
+// Limits on the data queued for a peer.
 const (
-	// maxDigestFacts is how many changes of members a digest carries.
+	// maxDigestFacts is the maximum number of membership changes in a digest.
 	maxDigestFacts = 32
-	// factLifetime is how old a change is when no peer that connects is told of it;
-	// the platform's list lags less.
+	// factLifetime is the age from which membership changes are no longer sent to a peer that
+	// connects. The platform's list lags by less.
 	factLifetime = 2 * time.Minute
-	markEvery    = 10 * time.Second
-	// maxPeerAnswers is for how many backend servers counts of answers wait for a peer.
+	// markEvery is the interval at which the view's sequence number is recorded.
+	markEvery = 10 * time.Second
+	// maxPeerAnswers is the maximum number of backend servers whose answer counts are queued
+	// for a peer.
 	maxPeerAnswers = 8192
 )
 
-// peersState is what an instance knows of its peers.
+// peersState is the state that an instance keeps about its peers.
 type peersState struct {
 	layout     *mesh.Layout
 	members    []mesh.Member
 	nextLayout time.Time
-	// membersSeq is the view's last change when members was taken.
+	// membersSeq is the view's sequence number when members was read.
 	membersSeq uint64
-	// layoutAt is when the layout last changed.
+	// layoutAt is the time of the last layout change.
 	layoutAt time.Time
 	surge    surge
-	// sums adds up the loads by the layout.
+	// sums aggregates the loads according to the layout.
 	sums *sums.Exchange
-	// bridges are the instances of other zones that hear of more than loads.
+	// bridges are the instances of other zones that exchange facts with this one, in addition
+	// to loads.
 	bridges []string
-	// farLoads says that requests go to the backend servers of all zones, as those of
-	// sessions do, so that zones tell each other their loads. Chats stay in their zone.
+	// farLoads is set while requests may go to backend servers of all zones, as those of
+	// sessions do. Zones then exchange their loads. Chats stay in their zone.
 	farLoads bool
 	linked   []PeerAddress
-	// inLayout are the peers of the layout; asked are others, to which a link is
-	// held until a time because something was sent to them.
+	// inLayout holds the peers in the layout.
 	inLayout map[string]bool
-	asked    map[string]time.Time
-	byName   map[string]*peerState
-	// names caches the sorted names of byName; nil after a change.
-	names  []string
+	// asked maps peers outside the layout, which are linked on demand, to the time until which
+	// their links are kept.
+	asked  map[string]time.Time
+	byName map[string]*peerState
+	// names caches the sorted keys of byName. It is nil after a change.
+	names []string
+	// budget limits the bytes sent to peers.
 	budget budget.Budget
-	// wanted and wantedEntries pace the requests for a newer configuration and for
-	// entries that peers have.
-	wanted        wanting
+	// wanted paces the requests for a newer configuration.
+	wanted wanting
+	// wantedEntries paces the requests for missing entries.
 	wantedEntries wanting
-	// marks and floor tell which changes of the view a peer that connects needs.
+	// marks are the view's sequence numbers at recent times. A peer that connects is sent the
+	// changes after the oldest one.
 	marks []changeMark
+	// floor is the view's sequence number after the first reads of the platform's list. Earlier
+	// changes are not sent to a peer that connects.
 	floor uint64
-	// generation, leaving and viewSeq are what the peers were hurried to hear.
+	// The next four fields hold the state at the last check for urgent updates.
 	generation uint64
 	leaving    bool
 	viewSeq    uint64
@@ -113,8 +125,9 @@
 	}
 }
 
-// wanting paces the requests for something that peers have, by its newest number. The
-// same is asked for ever more seldom: it may be a text that cannot be taken here.
+// wanting paces the requests for an item that peers have, identified by its newest number. The
+// interval between requests for the same number doubles, since the item may be a text that this
+// instance cannot accept.
 type wanting struct {
 	// first is the pause after the first request.
 	first  time.Duration
@@ -123,54 +136,61 @@
 	pause  time.Duration
 }
 
-// due tells whether to ask now, and counts on it.
-func (w *wanting) due(newest uint64, now time.Time) bool {
-	if newest != w.newest {
-		w.newest, w.pause, w.next = newest, w.first, time.Time{}
+// due reports whether to send a request now. If so, it schedules the next one.
+func (r *wanting) due(newest uint64, now time.Time) bool {
+	if newest != r.newest {
+		r.newest, r.pause, r.next = newest, r.first, time.Time{}
 	}
-	if now.Before(w.next) {
+	if now.Before(r.next) {
 		return false
 	}
-	w.next = now.Add(w.pause)
-	w.pause = min(2*w.pause, maxWantedPause)
+	r.next = now.Add(r.pause)
+	r.pause = min(2*r.pause, maxWantedPause)
 	return true
 }
 
-// peerState is one peer.
+// peerState is the state of one peer.
 type peerState struct {
 	name      string
 	connected bool
-	// since is when a link to the peer was first wanted.
+	// since is the time when the peer was first added.
 	since time.Time
 
-	// What it said.
+	// State received from the peer.
 	incarnation uint64
 	lastSeq     uint64
 	heardAt     time.Time
 	heard       sums.Lists
 	leaving     bool
-	wantFull    bool
-	forgotten   bool
+	// wantFull is set while the peer is to be asked for a full digest.
+	wantFull bool
+	// forgotten is set once the peer's loads were dropped, until its next digest.
+	forgotten bool
 
-	// What it was told.
+	// State sent to the peer.
 	seq    uint64
 	sent   sums.Lists
 	sentAt time.Time
-	// lastSent is when anything was last sent.
-	lastSent       time.Time
-	due            time.Time
-	refreshAt      time.Time
-	fullPending    bool
+	// lastSent is the time of the last message of any kind.
+	lastSent  time.Time
+	due       time.Time
+	refreshAt time.Time
+	// fullPending is set if the next digest must be full.
+	fullPending bool
+	// membersPending is set if the next digest must contain all members.
 	membersPending bool
 	toldGeneration uint64
 	toldLeaving    bool
-	// toldSeq and introducedSeq are the view's changes up to which it was told of those
-	// that leave, and of those that came; introduceAt is when it may be told of more.
-	toldSeq       uint64
+	// toldSeq is the view's sequence number up to which the peer was sent the instances that
+	// are leaving or gone.
+	toldSeq uint64
+	// introducedSeq is the view's sequence number up to which the peer was sent new instances.
 	introducedSeq uint64
-	introduceAt   time.Time
-	toldEntries   uint64
-	// introduced are the instances that it introduced meanwhile, with their incarnations.
+	// introduceAt is the earliest time to send the peer more new instances.
+	introduceAt time.Time
+	toldEntries uint64
+	// introduced holds the incarnations of the instances whose records the peer has sent since
+	// this instance last sent it new ones.
 	introduced map[string]uint64
 	lossesDue  time.Time
 	reports    map[string]membership.Report
@@ -191,8 +211,8 @@
 	return p
 }
 
-// peerNames lists the known peers in the order in which they are served. The caller
-// must not change the list.
+// peerNames returns the sorted names of the known peers, the order in which they are served.
+// The caller must not modify the list.
 func (n *Node) peerNames() []string {
 	if n.peers.names == nil {
 		n.peers.names = slices.Sorted(maps.Keys(n.peers.byName))
@@ -200,8 +220,8 @@
 	return n.peers.names
 }
 
-// peerConnected starts afresh with a peer: what was sent over an earlier link may
-// be lost, so the first digest is full.
+// peerConnected resets the state sent to a peer. Digests sent over an earlier link may be lost,
+// so the first one is full.
 func (n *Node) peerConnected(e PeerConnected) {
 	n.emit(Learned{Subject: OfLink, Name: e.Peer, State: "up", Incarnation: e.Incarnation})
 	n.peerStarted(e)
@@ -222,8 +242,9 @@
 	}
 }
 
-// peerStarted learns from a link that a process started under a name since what is known
-// of it: one that left is there again, though its entry in the store is the earlier one's.
+// peerStarted updates the view when the connected process is newer than the known incarnation.
+// An instance that had left is live again, even if its entry in the store is still the earlier
+// process's.
 func (n *Node) peerStarted(e PeerConnected) {
 	in := n.view.Get(e.Peer)
 	if in == nil || in.Role != membership.Entry || in.Incarnation >= e.Incarnation {
@@ -238,8 +259,8 @@
 	n.learnMembers([]membership.Instance{started})
 }
 
-// peerLost only notes that nothing can be sent. The peer may be alive behind a
-// cut: its loads age like those of any silent peer, and nobody is declared dead.
+// peerLost marks a peer as disconnected. The peer may be alive behind a network partition, so
+// its loads age like those of any silent peer and it is not declared dead.
 func (n *Node) peerLost(e PeerLost) {
 	n.emit(Learned{Subject: OfLink, Name: e.Peer, State: "down"})
 	if p := n.peers.byName[e.Peer]; p != nil {
@@ -247,7 +268,7 @@
 	}
 }
 
-// peerReceived hands a peer's message to the part that it is for.
+// peerReceived dispatches a message from a peer to its handler.
 func (n *Node) peerReceived(e PeerReceived) {
 	m := e.Message
 	if m.Digest != nil {
@@ -269,8 +290,7 @@
 	}
 }
 
-// silent tells whether a peer has not been heard for so long that others take
-// over its sums.
+// silent reports whether a peer has sent nothing for so long that others take over its sums.
 func (n *Node) silent(name string) bool {
 	if name == n.settings.Name || !n.neighbour(name) {
 		return false
@@ -279,7 +299,7 @@
 	return p != nil && n.now.Sub(p.heardAt) > silentAfter
 }
 
-// linkedTo tells whether a message to a peer can be sent now.
+// linkedTo reports whether a message to the peer can be sent now.
 func (n *Node) linkedTo(name string) bool {
 	p := n.peers.byName[name]
 	return p != nil && p.connected
@@ -310,9 +330,9 @@
 	n.tickPolls()
 }
 
-// roundFor is the round of digests to a peer. One outside the layout, to which
-// the link is held for claims, hears no loads, only often enough that an idle link
-// is not taken for dead.
+// roundFor returns the interval between digests to a peer. A peer outside the layout, whose
+// link is kept for claims, gets no loads, only digests frequent enough that the idle link is
+// not considered dead.
 func (n *Node) roundFor(name string) time.Duration {
 	if n.outsider(name) {
 		return outsideRound
@@ -320,9 +340,9 @@
 	return n.round()
 }
 
-// round is the pause between two digests to a peer of the layout: as short as the bytes
-// allow. That of an instance that follows the store is no longer than its neighbours
-// expect, so that its loss is soon noticed.
+// round returns the interval between digests to a peer in the layout, as short as the byte
+// budget allows. For an instance that follows the store it does not exceed the interval that
+// its neighbours expect, so that its loss is detected quickly.
 func (n *Node) round() time.Duration {
 	shortest, longest := meshRound, longMeshRound
 	switch {
@@ -338,20 +358,20 @@
 	return round
 }
 
-// jitter spreads a duration by a tenth each way, so that instances started
-// together do not send together.
+// jitter returns d changed at random by up to a tenth, so that instances started together do
+// not send at the same time.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	return d + time.Duration((n.random.Float64()-0.5)*0.2*float64(d))
 }
 
-// forgetSilent drops the loads of peers that have been silent for long, and all
-// else of those to whom no link is held or wanted.
+// forgetSilent drops the loads of peers that have been silent for long. It drops all state of a
+// silent peer if no link to it is up or wanted.
 func (n *Node) forgetSilent() {
 	for _, name := range n.peerNames() {
 		p := n.peers.byName[name]
-		parted := !p.connected && !n.wantsLink(name)
+		unlinked := !p.connected && !n.wantsLink(name)
 		limit := forgetAfter
-		if parted {
+		if unlinked {
 			limit = handover
 		}
 		if n.now.Sub(p.heardAt) <= limit {
@@ -360,7 +380,7 @@
 		if !p.forgotten {
 			n.forgetLoads(p)
 		}
-		if parted {
+		if unlinked {
 			delete(n.peers.byName, name)
 			n.peers.names = nil
 		}
@@ -370,7 +390,7 @@
 func (n *Node) forgetLoads(p *peerState) {
 	p.heard = sums.NewLists()
 	p.forgotten = true
-	// Its next digest may be a small one: it must say all of it again.
+	// The peer's next digest may be incremental, so a full one is requested.
 	p.wantFull = true
 	n.forgetPeerLoads(p.name)
 }
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -16,9 +16,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// TestEveryInstanceLearnsTheWholeLoad runs small and large zones: some seconds
-// after the last change each instance must know the exact load of every backend
-// server, though in rows no two of them talk about all of it.
+// In small and large zones, each instance must know the exact load of every backend server some
+// seconds after the last change. In a layout with rows no two instances exchange all of it.
 func TestEveryInstanceLearnsTheWholeLoad(t *testing.T) {
 	for _, size := range []int{2, 8, 11, 30, 58} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -28,9 +27,9 @@
 	}
 }
 
-// TestPartitionAndHeal cuts zone-0 off from the other zones for a minute. Each
-// side drops the other's loads, which nobody tells it any more, but declares
-// nobody dead; after the heal both know everything again within two seconds.
+// zone-0 is cut off from the other zones for a minute. Each side must drop the other's loads,
+// which it no longer receives, but declare no instance dead. Within two seconds after the
+// partition heals, both must know all loads again.
 func TestPartitionAndHeal(t *testing.T) {
 	f := newPeerFleet(t, 8, 3)
 	f.run(2 * time.Second)
@@ -60,10 +59,9 @@
 	f.requireExact(f.names(), f.names())
 }
 
-// TestFrozenHeadPassesItsSumsOn freezes the instance that adds up a slice for its
-// row: callers would be sent to servers that look idle. Another of the row must
-// take the slice over, nobody's load may count twice, and after its waking all
-// must agree again.
+// The head that aggregates a slice for its row freezes, so the slice's servers would look idle
+// and get too many requests. Another instance of the row must take the slice over, no load may
+// count twice, and all sums must agree again after the head resumes.
 func TestFrozenHeadPassesItsSumsOn(t *testing.T) {
 	f := newPeerFleet(t, 30, 1)
 	f.run(3 * time.Second)
@@ -72,8 +70,8 @@
 	frozen := f.nodes["entry-07"].peers.sums.Head("engine-0")
 	f.frozen[frozen] = true
 	f.run(20 * time.Second)
-	awake := slices.DeleteFunc(f.names(), func(name string) bool { return name == frozen })
-	f.requireExact(awake, awake)
+	running := slices.DeleteFunc(f.names(), func(name string) bool { return name == frozen })
+	f.requireExact(running, running)
 	f.busy(rand.New(rand.NewPCG(4, 4)), 1)
 	f.frozen[frozen] = false
 	f.run(10 * time.Second)
@@ -84,9 +82,9 @@
 	return PeerReceived{From: "b", Message: PeerMessage{Digest: &Digest{Incarnation: 2, Seq: seq, Loads: loads}}}
 }
 
-// TestOldDigestsChangeNothing delivers digests twice, late and from the process
-// before a restart: each would bring back a load that has ended, and a server
-// would be spared for nothing. A gap must make the instance ask for everything.
+// Duplicate digests, late ones and those from before a restart would restore loads that have
+// ended, so that a server gets too few requests. A gap in the sequence must make the instance
+// request a full digest.
 func TestOldDigestsChangeNothing(t *testing.T) {
 	n := New(Settings{Name: "a", Incarnation: 1})
 	now := time.Unix(1_764_000_000, 0)
@@ -114,8 +112,8 @@
 	require.Equal(t, 1, heard(n, "engine-3"))
 }
 
-// TestRestartedPeerStartsAtNothing restarts a peer under its name: the requests of
-// its earlier process are gone with it.
+// A peer restarts under the same name. The requests in progress of its earlier process must be
+// dropped.
 func TestRestartedPeerStartsAtNothing(t *testing.T) {
 	n := New(Settings{Name: "a", Incarnation: 1})
 	now := time.Unix(1_764_000_000, 0)
@@ -128,9 +126,9 @@
 	require.Equal(t, 1, heard(n, "engine-2"))
 }
 
-// TestBudgetShedsLoadsNeverLeaving changes every load at every moment, far beyond
-// what the budget can carry, beside a stream of claims. What is sent must stay
-// under the rate; claims and the word of leaving must go through all the same.
+// Every load changes all the time, far beyond what the byte budget can carry, next to a stream
+// of claims. The bytes sent must stay below the rate, and claims and the notice that an
+// instance is leaving must still be sent.
 func TestBudgetShedsLoadsNeverLeaving(t *testing.T) {
 	f := newPeerFleet(t, 10, 1)
 	f.run(2 * time.Second)
@@ -162,32 +160,32 @@
 	}
 }
 
-// TestConfigurationSpreadsByDigests gives one of 30 instances a new generation:
-// the others hear its number, ask and have it in force within seconds, and a
-// generation that cannot be had is not asked for again and again.
+// A peer's digests announce a generation whose configuration never arrives. The instance must
+// request it at growing intervals, not with every digest, and accept the configuration once it
+// is offered.
 func TestConfigurationSpreadsByDigests(t *testing.T) {
 	n := New(Settings{Name: "a", Incarnation: 1})
 	now := time.Unix(1_764_000_000, 0)
 	n.Handle(now, PeerConnected{Peer: "b", Incarnation: 2})
-	asked := 0
+	requested := 0
 	for i := range 240 {
 		d := digestOf(uint64(i + 1))
 		d.Message.Digest.Generation = 8
 		for _, e := range n.Handle(now.Add(time.Duration(i)*500*time.Millisecond), d) {
 			if send, ok := e.(SendPeer); ok && send.Message.ConfigWanted != nil {
 				require.Equal(t, "b", send.To)
-				asked++
+				requested++
 			}
 		}
 	}
-	require.Equal(t, 7, asked)
+	require.Equal(t, 7, requested)
 	text := `{"services": [{"name": "portal", "kind": "plain", "from_platform": true}], "customers": [{"name": "branch"}]}`
 	n.Handle(now, ConfigOffered{Envelope: config.Envelope{Generation: 8, Text: text}})
 	require.Equal(t, uint64(8), n.generation())
 }
 
-// TestNewcomerLearnsTheFleetFromAPeer starts an instance while the platform is
-// away: its seed's link must be enough to learn every member, with address.
+// An instance starts while the platform is unreachable. The link to its seed must be enough to
+// learn every member with its address.
 func TestNewcomerLearnsTheFleetFromAPeer(t *testing.T) {
 	f := newPeerFleet(t, 4, 1)
 	f.run(2 * time.Second)
@@ -202,10 +200,9 @@
 	require.Len(t, newcomer.peers.linked, 4)
 }
 
-// TestLeavingReachesEveryZoneWithoutThePlatform lets one instance of 36 in two
-// zones hear from a backend server that it leaves, while the platform is away: the
-// others must know it within a few seconds, or go on sending requests to it. An
-// instance that connects a minute later must be told as well.
+// One of 36 instances in two zones learns that a backend server is leaving, while the platform
+// is unreachable. The others must learn it within a few seconds, or they would keep sending
+// requests to that server. An instance that reconnects a minute later must learn it as well.
 func TestLeavingReachesEveryZoneWithoutThePlatform(t *testing.T) {
 	f := newPeerFleet(t, 36, 2)
 	engine := membership.Instance{
@@ -213,15 +210,15 @@
 	}
 	f.listed = append(f.listed, engine)
 	f.run(5 * time.Second)
-	late := "entry-30"
-	f.cut = func(a, b string) bool { return a == late || b == late }
+	disconnected := "entry-30"
+	f.cut = func(a, b string) bool { return a == disconnected || b == disconnected }
 	f.listed = nil
 	f.run(time.Second)
 	f.nodes["entry-05"].learn(membership.Fact{Name: "engine-1", Incarnation: 4, State: membership.Leaving})
 	f.run(3 * time.Second)
 	for _, name := range f.names() {
 		want := membership.Leaving
-		if name == late {
+		if name == disconnected {
 			want = membership.Live
 		}
 		require.Equal(t, want, f.nodes[name].view.Get("engine-1").State, name)
@@ -229,12 +226,12 @@
 	f.run(time.Minute)
 	f.cut = func(string, string) bool { return false }
 	f.run(2 * time.Second)
-	require.Equal(t, membership.Leaving, f.nodes[late].view.Get("engine-1").State)
+	require.Equal(t, membership.Leaving, f.nodes[disconnected].view.Get("engine-1").State)
 }
 
-// TestRegionCutMovesNoLoads cuts three of six zones off from the others for two
-// minutes. Loads never cross zones, so each zone must know its own exactly all the
-// time, nobody may be declared dead, and the heal must not cost a burst.
+// Three of six zones are cut off from the others for two minutes. Loads do not cross zones
+// here, so each zone must know its own exactly all the time. No instance may be declared dead,
+// and healing the partition must not cause a burst of traffic.
 func TestRegionCutMovesNoLoads(t *testing.T) {
 	f := newPeerFleet(t, 36, 6)
 	f.run(3 * time.Second)
@@ -266,46 +263,45 @@
 	}
 }
 
-// TestReplacementLeavesNoServerLookingIdle replaces one instance of 30, which moves
-// some of the others to other rows and slices to other heads. Were a slice's sums
-// gone until the new head has gathered its own, its servers would look idle to all
-// and be sent everything for a second or two.
+// One of 30 instances is replaced, which moves other instances to different rows and slices to
+// different heads. If a slice's sums were dropped before the new head has collected its own,
+// the slice's servers would look idle and get all requests for a second or two.
 func TestReplacementLeavesNoServerLookingIdle(t *testing.T) {
 	for _, zones := range []int{1, 3} {
 		least := 1.0
-		for _, gone := range []string{"entry-03", "entry-11", "entry-18", "entry-26"} {
-			least = min(least, replaceOne(t, 30*zones, zones, gone))
+		for _, replaced := range []string{"entry-03", "entry-11", "entry-18", "entry-26"} {
+			least = min(least, replaceOne(t, 30*zones, zones, replaced))
 		}
-		t.Logf("%d zones: least part of a server's load that an instance knew of: %.2f", zones, least)
+		t.Logf("%d zones: smallest fraction of a server's load known to an instance: %.2f", zones, least)
 		require.Greater(t, least, 0.6, "%d zones", zones)
 	}
 }
 
-// replaceOne gives the least part of a server's load that any instance knew of in
-// the 15 s after the replacement of one of so many.
-func replaceOne(t *testing.T, instances, zones int, gone string) float64 {
+// replaceOne replaces one instance of a fleet and returns the smallest fraction of a server's
+// load that any instance knew of in the 15 s after that.
+func replaceOne(t *testing.T, instances, zones int, replaced string) float64 {
 	f := newPeerFleet(t, instances+1, zones)
 	if zones > 1 {
 		f.tellFarLoads()
 	}
-	joins := fmt.Sprint("entry-", instances)
-	newcomer := f.nodes[joins]
-	delete(f.nodes, joins)
-	joining := f.listed[instances]
+	newName := fmt.Sprint("entry-", instances)
+	newcomer := f.nodes[newName]
+	delete(f.nodes, newName)
+	newRecord := f.listed[instances]
 	f.listed = f.listed[:instances]
 	f.run(3 * time.Second)
 	f.busy(rand.New(rand.NewPCG(7, 7)), 40)
 	f.run(5 * time.Second)
-	others := slices.DeleteFunc(f.names(), func(name string) bool { return name == gone })
-	f.frozen[gone] = true
-	f.cut = func(a, b string) bool { return a == gone || b == gone }
+	others := slices.DeleteFunc(f.names(), func(name string) bool { return name == replaced })
+	f.frozen[replaced] = true
+	f.cut = func(a, b string) bool { return a == replaced || b == replaced }
 	for i := range f.listed {
-		if f.listed[i].Name == gone {
+		if f.listed[i].Name == replaced {
 			f.listed[i].State = membership.Gone
 		}
 	}
-	f.listed = append(f.listed, joining)
-	f.nodes[joins] = newcomer
+	f.listed = append(f.listed, newRecord)
+	f.nodes[newName] = newcomer
 	least := 1.0
 	for range 30 {
 		f.run(500 * time.Millisecond)
@@ -320,20 +316,20 @@
 			}
 		}
 	}
-	f.requireExact(append(others, joins), others)
+	f.requireExact(append(others, newName), others)
 	return least
 }
 
-// TestClaimReachesAnOwnerOutsideTheLayout lets an instance of 30 ask the owner of
-// a range, to which the rows give it no link. The first message is lost; the link
-// must come, and the next message arrive, with no loads told over it.
+// An instance of 30 sends a claim to a range owner to which the layout gives it no link. The
+// first message is lost. A link must then be opened and the next message arrive, and no loads
+// may be sent over that link.
 func TestClaimReachesAnOwnerOutsideTheLayout(t *testing.T) {
 	f := newPeerFleet(t, 30, 1)
 	f.run(3 * time.Second)
 	n := f.nodes["entry-00"]
 	i := slices.IndexFunc(f.names(), func(name string) bool { return n.outsider(name) && name != "entry-00" })
 	owner := f.names()[i]
-	ask := func() {
+	sendClaim := func() {
 		f.handle("entry-00", Ticked{})
 		n.effects = n.effects[:0]
 		n.sendClaim(owner, claims.Request{Set: claims.Claimed, Expires: unixSeconds(f.now.Add(time.Hour))})
@@ -341,21 +337,21 @@
 			f.inbox[owner] = append(f.inbox[owner], PeerReceived{From: "entry-00", Message: n.effects[0].(SendPeer).Message})
 		}
 	}
-	ask()
+	sendClaim()
 	f.run(2 * time.Second)
 	require.True(t, f.linked[pair("entry-00", owner)])
 	require.Empty(t, f.nodes[owner].claims.ranges)
-	ask()
+	sendClaim()
 	f.run(3 * time.Second)
 	require.NotEmpty(t, f.nodes[owner].claims.ranges)
 	f.requireExact(f.names(), f.names())
 	f.run(2 * time.Minute)
-	require.False(t, f.linked[pair("entry-00", owner)], "unused, the link must go")
+	require.False(t, f.linked[pair("entry-00", owner)], "an unused link must be closed")
 }
 
-// A rack of engines crashes and comes back, one entry after the other, while callers go
-// on. Each instance passed each entry on to all its peers, and left the loads out for as
-// long: requests crowded on servers that looked idle to all, for half a minute.
+// The engines of a rack crash and return one entry at a time while requests continue. Each
+// instance used to forward each entry to all its peers, which left no bytes for loads. For half
+// a minute, requests piled up on servers that looked idle to all instances.
 func TestLoadsAreToldWhileEnginesComeAndGo(t *testing.T) {
 	f := newPeerFleet(t, 30, 1)
 	f.run(3 * time.Second)
@@ -381,5 +377,5 @@
 		require.Equal(t, revision, f.nodes[name].backends.has(), name)
 		sum += f.bytes[name]
 	}
-	require.Less(t, float64(sum)/30/19, budget.Rate, "bytes a second of an instance, with ten changes a second")
+	require.Less(t, float64(sum)/30/19, budget.Rate, "bytes per second and instance, with ten changes per second")
 }
--- a/internal/core/polls.go
+++ b/internal/core/polls.go
@@ -10,24 +10,25 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/rendezvous"
 )
 
-// reportOwners is how many instances ask a backend server for its report, so that
-// one frozen instance leaves no server unasked.
+// reportOwners is the number of instances that poll a backend server for its report. With two,
+// a server is still polled when one of them is frozen.
 const reportOwners = 2
 
-// minPollPause is how often an owner asks a server that tells it nothing else. In
-// a large zone it grows with the square root of the zone's size, as the headers
-// of more answers tell the same for free.
+// minPollPause is the minimum interval at which an owner polls a server whose load it does not
+// get otherwise. In a large zone the interval grows with the square root of the zone's size,
+// because the headers of more answers carry the same information at no cost.
 const minPollPause = 4 * time.Second
 
-// ownersEvery is how often the owned backend servers are worked out anew even if
-// the list of instances stays the same.
+// ownersEvery is the interval at which the owned backend servers are determined again even if
+// the list of instances is unchanged.
 const ownersEvery = 5 * time.Second
 
-// pollState paces the polling of the backend servers that this instance owns.
+// pollState schedules the polls of the backend servers that this instance owns.
 type pollState struct {
-	owned      map[string]*poll
+	owned map[string]*poll
+	// nextOwners is the time when the owned servers are determined next.
 	nextOwners time.Time
-	// heard is when a backend server last told its load here.
+	// heard maps each backend server to the time of its last load report.
 	heard map[string]time.Time
 }
 
@@ -38,17 +39,17 @@
 
 func (n *Node) pollOwnersChanged() { n.polls.nextOwners = time.Time{} }
 
-// heardBackend notes that a backend server told its load, in an answer's headers
-// or through a peer, so that it need not be asked.
+// heardBackend records that a backend server's load was reported in an answer's headers or by a
+// peer, so that it need not be polled.
 func (n *Node) heardBackend(backend string) {
 	if backend != "" {
 		n.polls.heard[backend] = n.now
 	}
 }
 
-// answerSaid takes what an answer's head says of its backend server, if anything.
-// What the peers may not know is passed on: in a large fleet an instance meets a
-// server once in many seconds, but some instance of its zone does each moment.
+// answerSaid applies the report in an answer's headers, if any. A report that peers may not
+// know is sent to them: in a large fleet a single instance exchanges requests with a given
+// server only once in many seconds, but some instance of its zone does so at any moment.
 func (n *Node) answerSaid(report *membership.Report) {
 	if report == nil {
 		return
@@ -60,8 +61,8 @@
 	n.backendSaid(*report)
 }
 
-// pollEnded passes the answer to a poll on to the peers that hear loads, if it
-// says what they may not know. It is called before the report is taken.
+// pollEnded sends a poll's report to the peers if they may not know it. It must be called
+// before the report is applied.
 func (n *Node) pollEnded(e BackendReported) {
 	backend := e.Report.Backend
 	if e.Failed || n.polls.owned[backend] == nil {
@@ -73,9 +74,9 @@
 	}
 }
 
-// tellReport queues a report for the peers, in a large fleet those of the own zone. They
-// pass it on to nobody, so that one instance of each other zone would hear it to little
-// use.
+// tellReport queues a report for the connected peers, in a large fleet only for those of this
+// instance's zone. Peers do not forward reports, so only one instance of each other zone would
+// receive it, which is of little use.
 func (n *Node) tellReport(report membership.Report) {
 	for name, p := range n.peers.byName {
 		if p.connected && (!n.apart() || n.inOwnZone(name)) {
@@ -84,14 +85,14 @@
 	}
 }
 
-// surprising tells whether a report differs from what this instance expected by
-// more than a tenth, or says that the server is leaving.
+// surprising reports whether a report differs from the expected load by more than a tenth, or
+// shows that the server is not live.
 func (n *Node) surprising(r membership.Report) bool {
 	expected := n.load.Estimate(r.Backend)
 	return r.State != membership.Live || math.Abs(float64(r.InFlight)-expected) > max(1, expected/10)
 }
 
-// tickPolls asks the owned backend servers that told nothing of late.
+// tickPolls polls the owned backend servers that have not reported their load recently.
 func (n *Node) tickPolls() {
 	if n.settings.NoPolls {
 		return
@@ -106,8 +107,8 @@
 		if n.now.Before(p.next) {
 			continue
 		}
-		if heard, ok := n.polls.heard[backend]; ok && n.now.Sub(heard) < interval {
-			p.next = heard.Add(n.jitter(interval))
+		if lastReport, ok := n.polls.heard[backend]; ok && n.now.Sub(lastReport) < interval {
+			p.next = lastReport.Add(n.jitter(interval))
 			continue
 		}
 		p.next = n.now.Add(n.jitter(interval))
@@ -120,52 +121,52 @@
 	return max(minPollPause, time.Duration(math.Sqrt(float64(zone))*float64(time.Second)))
 }
 
-// zoneEntries are the instances of a zone, all of them if it has none.
+// zoneEntries returns the instances of a zone, or all instances if the zone has none.
 func (n *Node) zoneEntries(zone string) []string {
-	var names, all []string
+	var inZone, all []string
 	for _, m := range n.peers.members {
 		all = append(all, m.Name)
 		if m.Zone == zone {
-			names = append(names, m.Name)
+			inZone = append(inZone, m.Name)
 		}
 	}
-	if len(names) == 0 {
+	if len(inZone) == 0 {
 		return all
 	}
-	return names
+	return inZone
 }
 
-// ownPolls works out which backend servers this instance asks: each has two
-// owners among the instances of its zone.
+// ownPolls determines which backend servers this instance polls. Each server has two owners
+// among the instances of its zone.
 func (n *Node) ownPolls() {
-	old := n.polls.owned
+	previous := n.polls.owned
 	n.polls.owned = make(map[string]*poll)
-	heard := make(map[string]time.Time)
-	entries := make(map[string][]string)
+	lastReports := make(map[string]time.Time)
+	zoneInstances := make(map[string][]string)
 	pause := n.pollPause()
 	for _, service := range slices.Sorted(maps.Keys(n.pools)) {
 		for _, c := range n.pools[service].candidates {
 			if at, ok := n.polls.heard[c.Name]; ok {
-				heard[c.Name] = at
+				lastReports[c.Name] = at
 			}
-			if entries[c.Zone] == nil {
-				entries[c.Zone] = n.zoneEntries(c.Zone)
+			if zoneInstances[c.Zone] == nil {
+				zoneInstances[c.Zone] = n.zoneEntries(c.Zone)
 			}
-			owners := entries[c.Zone]
-			if !slices.Contains(owners, n.settings.Name) ||
-				!slices.Contains(rendezvous.Top(c.Hash, owners, reportOwners), n.settings.Name) {
+			instances := zoneInstances[c.Zone]
+			if !slices.Contains(instances, n.settings.Name) ||
+				!slices.Contains(rendezvous.Top(c.Hash, instances, reportOwners), n.settings.Name) {
 				continue
 			}
-			// The first poll comes at any time of the interval, so that instances which
-			// start together, and both owners of a server, do not ask together.
-			first := time.Duration(n.random.Float64() * float64(pause))
-			mine := &poll{address: c.Address, next: n.now.Add(first)}
-			if was := old[c.Name]; was != nil {
-				mine.next = was.next
+			// The first poll is at a random point of the interval, so that instances that start
+			// together, and both owners of a server, do not poll at the same time.
+			delay := time.Duration(n.random.Float64() * float64(pause))
+			assigned := &poll{address: c.Address, next: n.now.Add(delay)}
+			if existing := previous[c.Name]; existing != nil {
+				assigned.next = existing.next
 			}
-			n.polls.owned[c.Name] = mine
+			n.polls.owned[c.Name] = assigned
 		}
 	}
-	// Servers that are gone leave no trace.
-	n.polls.heard = heard
+	// Entries of backend servers that are gone are dropped here.
+	n.polls.heard = lastReports
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// How the backend servers' entries go from one instance to the next. A digest says how
-// far its sender has them, and whoever lacks some asks one sender for them: told by each
-// of a dozen peers, the entries of some servers that crash together took the bytes of
-// all loads for many seconds.
+// The backend servers' entries are passed between instances on request. A digest states the
+// revision up to which its sender has them, and a receiver that lacks some requests them from
+// one sender. When each of a dozen peers sent all entries, those of a few servers that crashed
+// together used up the bytes for loads for many seconds.
 
-// entriesAskedFor is how long an answer of the first peer that is asked may take before
-// another one is.
+// entriesAskedFor is how long an instance waits for a peer's answer before it asks another peer
+// for the same entries.
 const entriesAskedFor = 300 * time.Millisecond
 
-// has is the revision of the newest entry that this instance can pass on.
+// has returns the revision of the newest entry that this instance can send to peers.
 func (b *backendsState) has() uint64 { return min(b.newestEntry, b.upTo()) }
 
-// upTo is the revision up to which this instance has missed none and waits for none. An
-// entry that may only have lapsed with the store is not passed on as removed: the others
-// did not see the outage, and would leave a server that is back in a moment.
+// upTo returns the revision up to which this instance has missed no change and no entry's
+// removal is pending. An entry whose lease may have lapsed only because of a store outage is
+// not sent as removed: the other instances did not see the outage and would stop using a server
+// that is about to reappear.
 func (b *backendsState) upTo() uint64 {
 	upTo := b.complete
 	for name := range b.lapsed {
@@ -30,11 +31,12 @@
 	return upTo
 }
 
-// after lists the changes after a revision up to another, in the order of their revisions.
+// after returns the changes with revisions above the given one, up to upTo, in the order of their
+// revisions.
 func (b *backendsState) after(revision, upTo uint64) []BackendEntry {
 	var list []BackendEntry
 	for _, e := range b.entries {
-		// Whoever has nothing yet need not hear of removals.
+		// An instance without any entries does not need the removals.
 		if e.Revision > revision && e.Revision <= upTo && (revision > 0 || e.Backend != nil) {
 			list = append(list, e)
 		}
@@ -45,7 +47,8 @@
 	return list
 }
 
-// peerEntries takes how far a peer has the entries, and asks it for what it is ahead.
+// peerEntries requests the missing entries from a peer whose digest shows that it is ahead. It
+// also records when a peer got ahead.
 func (n *Node) peerEntries(from string, d *Digest) {
 	if d.EntriesUpTo > n.backends.has() && n.peers.wantedEntries.due(d.EntriesUpTo, n.now) {
 		n.emit(SendPeer{To: from, Message: PeerMessage{EntriesWanted: &EntriesWanted{Above: n.backends.complete}}})
@@ -53,7 +56,7 @@
 	n.compareWithPeer(d)
 }
 
-// peerWantsEntries answers a peer that lacks entries.
+// peerWantsEntries answers a peer's request for entries.
 func (n *Node) peerWantsEntries(from string, wanted *EntriesWanted) {
 	upTo := n.backends.upTo()
 	if upTo <= wanted.Above {
@@ -63,8 +66,9 @@
 	n.emit(SendPeer{To: from, Message: PeerMessage{EntriesOffer: offer}})
 }
 
-// peerOffersEntries takes what a peer passes on. The revisions between which it leaves
-// nothing out tell how far this instance is complete, whatever was lost before.
+// peerOffersEntries applies the entries from a peer. The offer is complete between its two
+// revisions, so it extends the range in which this instance has missed no change, whatever
+// messages were lost before.
 func (n *Node) peerOffersEntries(o *EntriesOffer) {
 	n.takeEntries(o.Entries)
 	if o.From <= n.backends.complete {
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -13,13 +13,13 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// entriesText has a service whose backend servers have entries of their own.
+// entriesText configures a service whose backend servers register entries in the store.
 const entriesText = `{
   "services": [{"name": "engines", "kind": "model", "from_platform": true}],
   "customers": [{"name": "branch"}],
 }`
 
-// newEntries starts a fleet of instances before a number of engines with entries.
+// newEntries starts a fleet of instances and a number of engines with entries.
 func newEntries(seed uint64, instances, zones, engines int) *fleet {
 	f := newFleet(seed, instances, zones, entriesText)
 	for i := range engines {
@@ -36,7 +36,7 @@
 	}
 }
 
-// usable counts the engines that an instance would use.
+// usable returns the number of engines that the instance considers live.
 func (m *member) usable() int {
 	status := m.node.Status()
 	if len(status.Services) == 0 {
@@ -51,28 +51,28 @@
 	return live
 }
 
-// heardBy is how long it takes until every instance that counts uses so many engines.
-func (f *fleet) heardBy(t *testing.T, engines int, counts func(*member) bool) time.Duration {
+// heardBy returns the time until every selected instance uses the given number of engines.
+func (f *fleet) heardBy(t *testing.T, engines int, selected func(*member) bool) time.Duration {
 	t.Helper()
-	for took := time.Duration(0); took < time.Minute; took += 50 * time.Millisecond {
+	for elapsed := time.Duration(0); elapsed < time.Minute; elapsed += 50 * time.Millisecond {
 		all := true
 		for _, m := range f.members {
-			all = all && (m.dead || !counts(m) || m.usable() == engines)
+			all = all && (m.dead || !selected(m) || m.usable() == engines)
 		}
 		if all {
-			return took
+			return elapsed
 		}
 		f.run(50 * time.Millisecond)
 	}
-	require.Fail(t, "not heard by all")
+	require.Fail(t, "not all instances were updated")
 	return 0
 }
 
 func everyone(*member) bool { return true }
 
-// An engine leaves. Two instances a zone follow the store, and all others must stop
-// sending there as soon: within the two seconds that its operators allow, with a call
-// or two for the change and not one an instance.
+// An engine leaves. Only the followers watch the store, and all other instances must stop using
+// the engine as quickly: within the two seconds that the operators allow, with a call or two
+// per change instead of one per instance.
 func TestAFewFollowTheStoreForAll(t *testing.T) {
 	for _, size := range []struct{ instances, zones, calls int }{{8, 3, 40}, {48, 3, 40}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
@@ -86,26 +86,24 @@
 			require.Less(t, f.heardBy(t, 10, everyone), 500*time.Millisecond)
 			f.run(10 * time.Second)
 			calls := f.calls["watch-backends"] + f.calls["list-backends"] - before
-			t.Logf("%d instances: heard by all after %v; %d calls in ten seconds", size.instances, took, calls)
+			t.Logf("%d instances: all updated after %v; %d calls in ten seconds", size.instances, took, calls)
 			require.Less(t, calls, size.calls)
 		})
 	}
 }
 
-// The followers of one zone are cut off from the store, the others are not. What
-// changes meanwhile must reach the zone by the other zones' followers at once, and by
-// its own other instances when those are cut off as well.
+// Five of eight instances in two zones are cut off from the store. They must learn of a change
+// from the instances that still reach it.
 func TestOthersFollowWhenTheFollowersCannot(t *testing.T) {
 	f := newEntries(2, 8, 2, 12)
 	cut := map[string]bool{"entry-0": true, "entry-1": true, "entry-2": true, "entry-3": true, "entry-4": true}
 	f.cutOff = func(m *member) bool { return cut[m.name] }
 	f.run(4 * time.Second)
 	f.store.putEntry("engine-3", engineEntry(3, membership.Leaving))
-	require.Less(t, f.heardBy(t, 11, everyone), time.Second, "the cut off ones as well, by the others")
+	require.Less(t, f.heardBy(t, 11, everyone), time.Second, "includes the instances that are cut off")
 }
 
-// An instance starts anew in a fleet that has run for long, while the store is down:
-// it learns every engine from a peer.
+// An instance restarts while the store is down. It must learn every engine from a peer.
 func TestANewcomerLearnsTheEntriesFromAPeer(t *testing.T) {
 	f := newEntries(3, 8, 2, 100)
 	f.store.down = true
@@ -113,7 +111,7 @@
 	require.Less(t, f.heardBy(t, 100, everyone), 15*time.Second)
 }
 
-// putEntry changes a backend server's entry; without one it is removed.
+// putEntry sets a backend server's entry, or removes it if in is nil.
 func (s *fakeStore) putEntry(name string, in *membership.Instance) {
 	s.entries = append(s.entries, core.BackendEntry{Name: name, Revision: uint64(len(s.entries) + 1), Backend: in})
 	watchers := s.watchers
@@ -146,12 +144,12 @@
 		s.fleet.reply(m, storeTimeout, core.BackendsRead{Op: e.Op, Status: core.StoreFailed})
 		return
 	}
-	done := false
+	answered := false
 	answer := func() {
-		if done {
+		if answered {
 			return
 		}
-		done = true
+		answered = true
 		read := core.BackendsRead{Op: e.Op, Status: core.StoreOK, Revision: uint64(len(s.entries))}
 		for _, entry := range s.entries {
 			if entry.Revision > e.After {
