--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,13 +1,16 @@
-// Package admission decides who is let in to a service that is close to full.
+// Package admission decides which requests to admit to a service that is close to its
+// capacity.
 //
-// Below saturation everyone is. At saturation the customers share the service by
-// weighted max-min: a customer that asks for less than its share gets all it asks
-// for, and what it leaves goes to the others by weight. So the one who surges is
-// refused first. Nothing waits in a queue: a request is let in or refused at once.
+// Below saturation, every request is admitted. At saturation, the customers share the
+// service by weighted max-min fairness: a customer that requests less than its share is
+// fully served, and the rest is divided among the others by weight. A surging customer is
+// therefore refused first. Requests are not queued: each is admitted or refused
+// immediately.
 //
-// An instance sees a sliver of the traffic and applies the shares to it: the
-// balancer spreads every customer over all instances, so the proportions within a
-// sliver are those of the fleet, and no counts of customers need to be exchanged.
+// An instance receives only a fraction of the traffic and applies the shares to that
+// fraction. The load balancer spreads every customer over all instances, so the
+// proportions at one instance match those of the fleet, and no customer counts need to be
+// exchanged.
 package admission
 
 import (
@@ -16,75 +19,76 @@
 	"time"
 )
 
-// Verdict is what admission says of one request.
+// Verdict is the admission decision on one request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Admitted requests may be placed.
+	// Admitted means that the request may be placed.
 	Admitted Verdict = iota
-	// OverShare says that the customer has its share of a saturated service.
+	// OverShare means that the customer has used its share of a saturated service.
 	OverShare
-	// Saturated says that the service has no room for anyone.
+	// Saturated means that the service has no capacity left for any customer.
 	Saturated
 )
 
 const (
-	// softShare is the share of the capacity from which on shares apply. The rest
-	// is room for customers under their share while those over it drain.
+	// softShare is the fraction of the capacity above which shares are enforced. The rest
+	// is for customers below their share, while those above it drain.
 	softShare = 0.9
-	// levelInterval is how often the water level is taken anew.
+	// levelInterval is how often the water level is computed.
 	levelInterval = 100 * time.Millisecond
-	// nearSoft is the share of the soft limit from which on the water level is kept
-	// up to date, so that it is at hand when shares begin to apply.
+	// nearSoft is the fraction of the soft limit above which the water level is computed,
+	// so that it is available when shares begin to be enforced.
 	nearSoft = 0.9
-	// leastWeight keeps a share from being divided by nothing.
+	// leastWeight prevents a division by zero.
 	leastWeight = 1e-3
 	// demandMemory is how long a refusal counts as demand.
 	demandMemory = 2 * time.Second
-	// levelRounds bounds the search for the water level: each round halves the
-	// error, and 32 leave less than a request of any load.
+	// levelRounds is the number of bisection steps for the water level. Each step halves
+	// the error; after 32 it is less than one request at any load.
 	levelRounds = 32
-	// leastDrain is the drain rate taken where nothing has ended yet, in requests
-	// a second.
+	// leastDrain is the drain rate assumed while no request has ended yet, in requests a
+	// second.
 	leastDrain = 0.1
-	// drainWindow is the time over which the drain rate is taken.
+	// drainWindow is the period over which the drain rate is measured.
 	drainWindow = 5 * time.Second
 )
 
-// MaxRetryAfter is the longest time to come back.
+// MaxRetryAfter is the longest delay that RetryAfter returns.
 const MaxRetryAfter = 30 * time.Second
 
-// Room is what placement knows of the service's fill.
+// Room is the load and the capacity of a service, as known to placement.
 type Room struct {
-	// Load is the estimate of the fleet's requests in progress.
+	// Load is the estimated number of the fleet's requests in progress.
 	Load float64
 	// Capacity is the sum of the backend servers' capacities.
 	Capacity float64
 }
 
-// Unlimited is the room of a service that admission does not concern.
+// Unlimited is the value for a service without admission control.
 var Unlimited = Room{Capacity: math.Inf(1)}
 
-func (r Room) soft() float64 { return softShare * r.Capacity }
+func (u Room) soft() float64 { return softShare * u.Capacity }
 
-// Controller holds one service's customers with requests in progress at this
-// instance, and those refused a moment ago. Its memory is bounded by the requests
-// in progress and by maxRefused.
+// Controller tracks the customers of one service that have requests in progress at this
+// instance or were refused recently. Its memory is bounded by the requests in progress and
+// by maxRefused.
 type Controller struct {
 	customers map[string]*customer
-	// list holds the same customers in an order that depends on events alone, so
-	// that sums over it come out the same again.
+	// list holds the same customers in an order that depends only on the sequence of
+	// events, so that floating-point sums over it are reproducible.
 	list     []*customer
 	inFlight int
 	// weights is the sum of the customers' weights.
 	weights float64
-	// level is the water level: the requests in progress that each unit of weight
-	// may have here.
+	// level is the water level: the number of requests in progress at this instance that
+	// each unit of weight permits.
 	level    float64
 	nextTick time.Time
 	drain    drain
-	// refusers counts the customers with refusals, refusals the sum of these.
+	// refusers is the number of customers with refusals, and refusals the number of these
+	// refusals.
 	refusers, refusals int
 }
 
@@ -94,12 +98,12 @@
 	index    int
 	weight   float64
 	inFlight int
-	// refused counts the refusals since refusedAt: demand that was not served.
+	// refused counts the refusals since refusedAt, which are unserved demand.
 	refused   int
 	refusedAt time.Time
 }
 
-// maxRefused bounds the customers that are remembered for a refusal alone.
+// maxRefused limits the customers that are tracked only because of refusals.
 const maxRefused = 1024
 
 // NewController returns the controller of one service.
@@ -107,13 +111,13 @@
 	return &Controller{customers: make(map[string]*customer), level: math.Inf(1)}
 }
 
-// Idle tells whether no request admitted here is in progress.
+// Idle reports whether no request admitted here is in progress.
 func (c *Controller) Idle() bool { return c.inFlight == 0 }
 
-// Customers returns the number of customers that it remembers.
+// Customers returns the number of tracked customers.
 func (c *Controller) Customers() int { return len(c.list) }
 
-// InFlight returns the customer's requests in progress at this instance.
+// InFlight returns the number of the customer's requests in progress at this instance.
 func (c *Controller) InFlight(name string) int {
 	if cu := c.customers[name]; cu != nil {
 		return cu.inFlight
@@ -121,11 +125,11 @@
 	return 0
 }
 
-// Admit decides on one request of a customer. An admitted one is counted until
-// Ended is called for it.
-func (c *Controller) Admit(name string, weight float64, room Room, now time.Time, random *rand.Rand) Verdict {
-	if room.Load+1 > room.soft() {
-		if v := c.squeeze(name, weight, room, now, random); v != Admitted {
+// Admit decides on one request of a customer. An admitted request counts as in progress
+// until Ended is called for it.
+func (c *Controller) Admit(name string, weight float64, util Room, now time.Time, random *rand.Rand) Verdict {
+	if util.Load+1 > util.soft() {
+		if v := c.squeeze(name, weight, util, now, random); v != Admitted {
 			return v
 		}
 	}
@@ -135,15 +139,16 @@
 	return Admitted
 }
 
-// squeeze decides at saturation.
-func (c *Controller) squeeze(name string, weight float64, room Room, now time.Time, random *rand.Rand) Verdict {
-	if room.Load+1 > room.Capacity {
+// squeeze decides on one request of a saturated service.
+func (c *Controller) squeeze(name string, weight float64, util Room, now time.Time, random *rand.Rand) Verdict {
+	if util.Load+1 > util.Capacity {
 		c.countRefused(name, weight, now)
 		return Saturated
 	}
-	// The sliver's share is rarely whole. Rounding it by chance gives the fleet's
-	// sum the right share, and everyone keeps one request.
-	allowed := max(1, max(weight, leastWeight)*c.levelNow(room)+random.Float64())
+	// The share at this instance is rarely an integer. Randomized rounding makes the
+	// fleet's total match the share, and the minimum of 1 lets every customer have one
+	// request.
+	allowed := max(1, max(weight, leastWeight)*c.levelNow(util)+random.Float64())
 	if float64(c.InFlight(name)+1) > allowed {
 		c.countRefused(name, weight, now)
 		return OverShare
@@ -151,19 +156,19 @@
 	return Admitted
 }
 
-// levelNow returns the water level at saturation. A burst can fill the service
-// between two ticks, before a level was taken: until then the even share by weight
-// stands in for it, which no customer with a small demand is over.
-func (c *Controller) levelNow(room Room) float64 {
+// levelNow returns the water level at saturation. A burst can saturate the service between
+// two ticks, before a level has been computed. Until then, the level is the equal share
+// per unit of weight, which no customer with a small demand exceeds.
+func (c *Controller) levelNow(util Room) float64 {
 	if !math.IsInf(c.level, 1) {
 		return c.level
 	}
-	return c.part(room) / max(c.weights, leastWeight)
+	return c.part(util) / max(c.weights, leastWeight)
 }
 
-// part is this instance's part of the service's soft limit.
-func (c *Controller) part(room Room) float64 {
-	return float64(c.inFlight) * room.soft() / max(1, room.Load)
+// part returns this instance's part of the service's soft limit.
+func (c *Controller) part(util Room) float64 {
+	return float64(c.inFlight) * util.soft() / max(1, util.Load)
 }
 
 func (c *Controller) customer(name string, weight float64) *customer {
@@ -179,7 +184,7 @@
 	return cu
 }
 
-// forget drops a customer of whom nothing is left to remember.
+// forget removes a customer without requests in progress or refusals.
 func (c *Controller) forget(cu *customer) {
 	if cu.inFlight > 0 || cu.refused > 0 {
 		return
@@ -207,7 +212,7 @@
 	c.refusals++
 }
 
-// Ended counts the end of an admitted request.
+// Ended records the end of an admitted request.
 func (c *Controller) Ended(name string, now time.Time) {
 	cu := c.customers[name]
 	if cu == nil || cu.inFlight == 0 {
@@ -219,35 +224,36 @@
 	c.forget(cu)
 }
 
-// Tick takes the water level anew: the level at which the customers' demands, each
-// cut off at its weight times the level, fill this instance's part of the service's
-// soft limit. It takes time linear in the active customers; decisions only read it.
-func (c *Controller) Tick(room Room, now time.Time) {
+// Tick recomputes the water level: the level at which the customers' demands, each capped
+// at its weight times the level, add up to this instance's part of the service's soft
+// limit. Its running time is linear in the number of tracked customers, and admission
+// decisions only read its result.
+func (c *Controller) Tick(util Room, now time.Time) {
 	if now.Before(c.nextTick) {
 		return
 	}
 	c.nextTick = now.Add(levelInterval)
 	c.forgetRefused(now)
-	if room.Load < nearSoft*room.soft() {
+	if util.Load < nearSoft*util.soft() {
 		c.level = math.Inf(1)
 		return
 	}
-	c.level = c.waterLevel(c.part(room))
+	c.level = c.waterLevel(c.part(util))
 }
 
-func (c *Controller) waterLevel(part float64) float64 {
+func (c *Controller) waterLevel(limit float64) float64 {
 	high, demand := 0.0, 0.0
 	for _, cu := range c.list {
 		high = max(high, cu.demand()/cu.weight)
 		demand += cu.demand()
 	}
-	if demand <= part {
+	if demand <= limit {
 		return math.Inf(1)
 	}
 	low := 0.0
 	for range levelRounds {
 		mid := (low + high) / 2
-		if c.filled(mid) > part {
+		if c.filled(mid) > limit {
 			high = mid
 		} else {
 			low = mid
@@ -266,7 +272,7 @@
 	return sum
 }
 
-// forgetRefused drops refusals that are no sign of demand any more.
+// forgetRefused drops refusals that are too old to count as demand.
 func (c *Controller) forgetRefused(now time.Time) {
 	for i := len(c.list) - 1; i >= 0; i-- {
 		cu := c.list[i]
@@ -279,18 +285,19 @@
 	}
 }
 
-// RetryAfter returns when a refused caller may come back: the time in which this
-// instance drains what is over its part of the soft limit and those refused before
-// this one, not under least, spread so that they do not come back together.
-func (c *Controller) RetryAfter(room Room, least time.Duration, now time.Time, random *rand.Rand) time.Duration {
-	over := float64(c.inFlight) * max(0, 1-room.soft()/max(1, room.Load))
-	seconds := (over + float64(c.refusals-1)) / max(leastDrain, c.drain.rate(now))
-	wait := time.Duration(min(seconds, MaxRetryAfter.Seconds()/2) * float64(time.Second))
-	wait = max(wait, least)
-	return wait + time.Duration(random.Float64()*float64(wait))
+// RetryAfter returns the delay after which a refused caller may retry. It is the time in
+// which this instance drains its load above its part of the soft limit plus one request
+// for each earlier refusal, but at least minDelay. It is randomized so that refused
+// callers do not retry at the same time.
+func (c *Controller) RetryAfter(util Room, minDelay time.Duration, now time.Time, random *rand.Rand) time.Duration {
+	excess := float64(c.inFlight) * max(0, 1-util.soft()/max(1, util.Load))
+	seconds := (excess + float64(c.refusals-1)) / max(leastDrain, c.drain.rate(now))
+	delay := time.Duration(min(seconds, MaxRetryAfter.Seconds()/2) * float64(time.Second))
+	delay = max(delay, minDelay)
+	return delay + time.Duration(random.Float64()*float64(delay))
 }
 
-// drain measures the requests that end in a second.
+// drain measures the rate at which requests end.
 type drain struct {
 	since    time.Time
 	now, old float64
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// pool is one saturated service seen by its only instance, filled step by step:
-// in each step every customer asks, and the oldest requests end.
+// pool is one service with a single instance. In each step of a test, the oldest requests
+// end and every customer makes new ones.
 type pool struct {
 	c        *admission.Controller
 	random   *rand.Rand
@@ -51,7 +51,7 @@
 	p.c.Tick(p.room(), p.now)
 }
 
-// Below saturation nobody is refused, however uneven the customers.
+// Below saturation no request is refused, however uneven the customers.
 func TestEveryoneGetsInBelowSaturation(t *testing.T) {
 	p := newPool(100)
 	for i := range 89 {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Two of ten customers surge to ten times what fits. What the other eight's users
-// would see without shares: nine in ten of their requests refused by a full
-// service. With them the surging two are refused and the eight are not.
+// Two of ten customers surge to ten times the load that fits. Without shares, the full
+// service would refuse nine in ten requests of the other eight as well. With shares, only
+// the two are refused.
 func TestOnlyTheOnesWhoSurgeAreRefused(t *testing.T) {
 	p := newPool(200)
 	refused := map[string]int{}
@@ -90,7 +90,7 @@
 	for i := range 10 {
 		if name := fmt.Sprint("customer-", i); i < 2 {
 			require.Greater(t, refused[name], 6000)
-			require.Greater(t, inFlight[name], 40, "what the others leave is used")
+			require.Greater(t, inFlight[name], 40, "the share that the others leave is used")
 		} else {
 			require.Zero(t, refused[name])
 		}
@@ -99,8 +99,8 @@
 	require.Greater(t, len(p.running), 170)
 }
 
-// When all ask for more than there is, each gets its weight's share, though all ask
-// equally often.
+// When all customers exceed the capacity with equal request rates, each gets the share of
+// its weight.
 func TestSharesFollowTheWeights(t *testing.T) {
 	p := newPool(400)
 	weights := map[string]float64{"a": 1, "b": 2, "c": 5}
@@ -118,8 +118,8 @@
 	}
 }
 
-// Random customers, loads and ends: the count of requests in progress is right,
-// the capacity is never passed, and nothing is remembered once all has ended.
+// For random customers, loads and ends, the count of requests in progress is right, the
+// capacity is never exceeded, and no customer is tracked after all requests have ended.
 func TestNothingIsLeftBehind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(1, 30).Draw(t, "capacity"))
@@ -139,8 +139,8 @@
 	})
 }
 
-// Callers refused in the same moment must not come back in the same moment, nor
-// sooner than the service can have drained.
+// Callers refused at the same time must not retry at the same time, nor before the service
+// can have drained.
 func TestRetryAfterFollowsTheDrainAndSpreads(t *testing.T) {
 	times := func(ends int) (least, most time.Duration) {
 		p := newPool(100)
--- a/internal/core/claimends.go
+++ b/internal/core/claimends.go
@@ -8,15 +8,17 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/claims"
 )
 
-// claimEnd is the end of a claim on its way to the store.
+// claimEnd is the final state of a claim that is not stored yet.
 type claimEnd struct {
-	ask   claims.Request
+	ask claims.Request
+	// next is the time of the next attempt, and tries the number of attempts made.
 	next  time.Time
 	tries int
 }
 
-// endClaim records what became of a claimed request: claims.Done once answered,
-// claims.Released once it surely did not run. An unknown end is left as claimed.
+// endClaim records the result of a claimed request: claims.Done once it was answered,
+// claims.Released if it certainly did not run. If the result is unknown, the key stays
+// claimed.
 func (n *Node) endClaim(r *request, state claims.State) {
 	n.recordEnd(claims.Request{
 		Key:     claims.Key(r.arrived.Customer, r.service.Name, r.arrived.Key),
@@ -25,21 +27,20 @@
 	}, state)
 }
 
-// recordEnd keeps trying to record the end of a claim until the claim expires. The
-// ends are in this instance's memory only: if it is killed meanwhile, the key stays
-// claimed until then.
-func (n *Node) recordEnd(ask claims.Request, state claims.State) {
-	ask.Set = state
+// recordEnd stores the end of a claim, with retries until the claim expires. Pending ends
+// are only in memory: if this instance is killed, the key stays claimed until it expires.
+func (n *Node) recordEnd(req claims.Request, state claims.State) {
+	req.Set = state
 	if len(n.claims.ends) >= maxClaimEnds {
 		n.emit(Counted{Counter: counterClaimEndsDropped, Label: state.String(), N: 1})
 		return
 	}
-	end := &claimEnd{ask: ask}
-	n.claims.ends[ask.Token] = end
+	end := &claimEnd{ask: req}
+	n.claims.ends[req.Token] = end
 	n.sendEnd(end)
 }
 
-// sendEnd makes one try to record the end of a claim.
+// sendEnd makes one attempt to record the end of a claim.
 func (n *Node) sendEnd(end *claimEnd) {
 	end.tries++
 	first := endDelay
@@ -53,14 +54,15 @@
 		n.sendClaim(owner, end.ask)
 		return
 	}
-	rg := n.claimRange(i)
-	if !rg.Waits(end.ask.Token) && rg.Add(n.now, "", end.ask, n.now.Add(endWait)) {
+	partition := n.claimRange(i)
+	if !partition.Waits(end.ask.Token) && partition.Add(n.now, "", end.ask, n.now.Add(endWait)) {
 		n.pumpClaims(i)
 	}
 }
 
-// endsAtOwner tells whether the end of a claim is sent to the range's owner. That one
-// has the log in memory; with a slow store this instance could be long in reading it.
+// endsAtOwner reports whether to send the end of a claim to the owner of its partition.
+// The owner has the log in memory; with a slow store, this instance could take long to
+// load it. If the owner has been silent, every second attempt is made locally.
 func (n *Node) endsAtOwner(owner string, end *claimEnd) bool {
 	if owner == n.settings.Name || n.suspected(owner) || !n.linkedTo(owner) {
 		return false
@@ -68,6 +70,7 @@
 	return end.tries%2 == 1 || n.now.Sub(n.members.heard[owner]) < peerSilence
 }
 
+// endAnswered drops a claim end once the reply confirms that it is stored.
 func (n *Node) endAnswered(reply claims.Reply) {
 	end := n.claims.ends[reply.Token]
 	if end != nil && end.ask.Set == reply.Set && reply.Verdict == claims.Granted {
@@ -75,10 +78,10 @@
 	}
 }
 
-// claimsSettled tells whether every end of a claim is in the store.
+// claimsSettled reports whether every claim end is stored.
 func (n *Node) claimsSettled() bool { return len(n.claims.ends) == 0 }
 
-// tickEnds tries again to record the ends that are not in the store yet.
+// tickEnds retries the claim ends that are not stored yet and drops the expired ones.
 func (n *Node) tickEnds() {
 	for _, token := range slices.Sorted(maps.Keys(n.claims.ends)) {
 		end := n.claims.ends[token]
--- a/internal/core/claiming.go
+++ b/internal/core/claiming.go
@@ -11,63 +11,66 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/rendezvous"
 )
 
-// Time limits and bounds of claiming.
+// Timeouts, delays and limits for claims.
 const (
 	// claimWait is how long a request waits for its claim.
 	claimWait = 3 * time.Second
-	// forwardWait is how long it waits for the owner of the range before this
-	// instance writes the claim itself. It lies above the ledger's write interval
-	// and a write, so that a busy owner is not taken for a lost one.
+	// forwardWait is how long a request waits for the owner of its partition before this
+	// instance writes the claim itself. It exceeds the partition's write interval plus one
+	// write, so that a busy owner is not taken for a failed one.
 	forwardWait = time.Second
-	// againWait is how long an owner that is asked again may say nothing.
+	// againWait is how long an owner may stay silent after a claim was resent to it.
 	againWait = 500 * time.Millisecond
-	// suspectTime is how long an owner that did not answer is not asked again.
+	// suspectTime is how long no claim is forwarded to an owner that did not answer.
 	suspectTime = 10 * time.Second
-	// sendMargin is the least time between the deadline of a claimed request and
-	// the end of its claim.
+	// sendMargin is the minimum time between the deadline of a claimed request and the
+	// expiry of its claim.
 	sendMargin = 5 * time.Second
-	// maxClaimsWaiting bounds the requests that wait for their claims.
+	// maxClaimsWaiting limits the requests that wait for their claims.
 	maxClaimsWaiting = 4096
-	// maxClaimEnds bounds the ends of claims that have not reached the store.
+	// maxClaimEnds limits the claim ends that are not stored yet.
 	maxClaimEnds = 8192
-	// endDelay and endMaxDelay bound the delay between two tries to record an end.
+	// endDelay and endMaxDelay are the first and the longest delay between two attempts to
+	// record a claim end.
 	endDelay = 5 * time.Second
-	// endWait is how long the end of a claim waits in a range.
+	// endWait is how long a claim end waits in the queue of a partition.
 	endWait = 15 * time.Second
-	// releaseDelay is the first delay of a release: the caller may be back soon.
+	// releaseDelay is the first retry delay for a release. It is short because the caller
+	// may retry soon.
 	releaseDelay = time.Second
 	endMaxDelay  = time.Minute
-	// unloadAfter is how long the log of a range stays in memory unused.
+	// unloadAfter is how long the log of an unused partition stays in memory.
 	unloadAfter = time.Minute
 )
 
-// The counters of the ledger.
+// Counter names for claims.
 const (
 	// counterClaims counts claims by verdict.
 	counterClaims = "claims"
-	// counterClaimEndsDropped counts ends of claims that could not be recorded, by
-	// state. The key then stays claimed until its window is over.
+	// counterClaimEndsDropped counts, by state, the claim ends that could not be recorded.
+	// The key then stays claimed until its window is over.
 	counterClaimEndsDropped = "claim_ends_dropped"
-	// counterClaimTakeovers counts claims that were written by another instance
-	// than the owner of the range because that did not answer.
+	// counterClaimTakeovers counts claims that another instance wrote because the owner of
+	// the partition did not answer.
 	counterClaimTakeovers = "claim_takeovers"
 )
 
-// claimState is this instance's part in the ledger.
+// claimState holds the claims that this instance has in progress.
 type claimState struct {
-	// ranges are the logs that are in memory.
+	// ranges holds the partitions whose logs are in memory, by partition number.
 	ranges map[int]*claims.Range
-	// calls are the store calls under way and their ranges.
+	// calls maps the store calls in flight to their partitions.
 	calls map[OpID]int
-	// waiting are the requests that wait for their claims, by token.
+	// waiting holds the requests that wait for their claims, by token.
 	waiting map[uint64]*claimWaiter
-	// ends are the ends of claims that are not in the store yet, by token.
+	// ends holds the claim ends that are not stored yet, by token.
 	ends map[uint64]*claimEnd
-	// suspects are the owners that did not answer, until when they are not asked.
+	// suspects maps each owner that did not answer to the time until which no claim is
+	// forwarded to it.
 	suspects map[string]time.Time
-	// wantedAt is when links to the owners were last asked for.
+	// wantedAt is when links to the owners were last requested.
 	wantedAt time.Time
-	// owners caches the ranges' owners for the list of entries ranked.
+	// owners caches the owner of each partition, computed from the entries in ranked.
 	owners [claims.Ranges]string
 	ranked []string
 }
@@ -75,14 +78,18 @@
 // claimWaiter is a request that waits for its claim.
 type claimWaiter struct {
 	request RequestID
-	ask     claims.Request
-	until   time.Time
-	// owner is the peer that was asked, "" once this instance acts itself.
-	owner        string
+	// ask is the claim request, and until the time at which it is given up.
+	ask   claims.Request
+	until time.Time
+	// owner is the peer that the claim was forwarded to, or "" once this instance writes
+	// the claim itself.
+	owner string
+	// forwardUntil is when the owner's answer is overdue, and again the number of such
+	// timeouts since the claim was forwarded.
 	forwardUntil time.Time
 	again        int
-	// written is set once the claim may be in the store, and astray once it may get
-	// there later than its answer, since it was sent more than once.
+	// written is set once the claim may be stored. astray is set once the claim was sent
+	// more than once, so that it may be stored after the answer has arrived.
 	written bool
 	astray  bool
 }
@@ -97,11 +104,10 @@
 	}
 }
 
-// capDeadline keeps the deadline of a request under the end of its claim. An
-// instance that is frozen after the claim and wakes when the key is free again
-// finds the deadline over and sends nothing. What is left open is a freeze between
-// the last look at the clock and the bytes' leaving that lasts longer than the
-// window.
+// capDeadline keeps the deadline of a request before the expiry of its claim. If an
+// instance is frozen after the claim and resumes when the key is free again, the deadline
+// has passed and the request is not sent. One case remains: a freeze longer than the
+// window between the last check of the clock and the write to the network.
 func (n *Node) capDeadline(r *request) {
 	window := time.Duration(n.snapshot.Claims.Window)
 	if latest := n.now.Add(max(0, window-sendMargin)); r.deadline.After(latest) {
@@ -109,11 +115,11 @@
 	}
 }
 
-// claim records the request's idempotency key before any byte of it is sent. It
-// calls claimGranted or claimRefused, now or on a later event.
+// claim records the idempotency key of the request before any byte of the request is sent.
+// It calls claimGranted or claimRefused, either immediately or on a later event.
 func (n *Node) claim(r *request) {
 	window := time.Duration(n.snapshot.Claims.Window)
-	w := &claimWaiter{
+	pc := &claimWaiter{
 		request: r.arrived.Request,
 		until:   n.now.Add(claimWait),
 		ask: claims.Request{
@@ -123,28 +129,29 @@
 			Expires: unixSeconds(n.now.Add(window)),
 		},
 	}
-	r.claimToken, r.claimExpires = w.ask.Token, w.ask.Expires
+	r.claimToken, r.claimExpires = pc.ask.Token, pc.ask.Expires
 	if len(n.claims.waiting) >= maxClaimsWaiting {
-		n.refuseClaim(w, claims.Reply{Verdict: claims.Unavailable})
+		n.refuseClaim(pc, claims.Reply{Verdict: claims.Unavailable})
 		return
 	}
-	n.claims.waiting[w.ask.Token] = w
-	owner := n.rangeOwner(w.ask.Key.Range())
+	n.claims.waiting[pc.ask.Token] = pc
+	owner := n.rangeOwner(pc.ask.Key.Range())
 	if owner == n.settings.Name || n.suspected(owner) {
-		n.claimHere(w)
+		n.claimHere(pc)
 		return
 	}
 	n.wantOwners()
-	w.owner, w.forwardUntil = owner, n.now.Add(forwardWait)
-	n.forward(w)
+	pc.owner, pc.forwardUntil = owner, n.now.Add(forwardWait)
+	n.forward(pc)
 }
 
-// forward sends a claim to the owner that it waits for, as soon as there is a link.
-// A claim written here meanwhile would compete with the owner's own writes.
-func (n *Node) forward(w *claimWaiter) {
-	if n.linkedTo(w.owner) {
-		w.written = true
-		n.sendClaim(w.owner, w.ask)
+// forward sends a claim to its owner as soon as there is a link. This instance does not
+// write the claim in the meantime, since that write would compete with the owner's own
+// writes.
+func (n *Node) forward(pc *claimWaiter) {
+	if n.linkedTo(pc.owner) {
+		pc.written = true
+		n.sendClaim(pc.owner, pc.ask)
 	}
 }
 
@@ -152,33 +159,34 @@
 	return uint32(min(max(0, t.Unix()), math.MaxUint32))
 }
 
-// claimHere claims in this instance's own copy of the range.
-func (n *Node) claimHere(w *claimWaiter) {
-	w.owner = ""
-	i := w.ask.Key.Range()
-	rg := n.claimRange(i)
-	if verdict := n.queueClaim(rg, "", w.ask, w.until); verdict != claims.Granted {
-		n.refuseClaim(w, claims.Reply{Verdict: verdict})
+// claimHere queues a claim in this instance's own copy of the partition.
+func (n *Node) claimHere(pc *claimWaiter) {
+	pc.owner = ""
+	i := pc.ask.Key.Range()
+	partition := n.claimRange(i)
+	if verdict := n.queueClaim(partition, "", pc.ask, pc.until); verdict != claims.Granted {
+		n.refuseClaim(pc, claims.Reply{Verdict: verdict})
 		return
 	}
 	n.pumpClaims(i)
 }
 
-// queueClaim adds a request to a range. Granted says only that it was added. A
-// request is not added while the store is away, as it would wait in vain.
-func (n *Node) queueClaim(rg *claims.Range, from string, ask claims.Request, until time.Time) claims.Verdict {
+// queueClaim adds a request to the queue of a partition. Granted means only that the
+// request was added. Requests are refused while the store is unavailable, as they would
+// time out in the queue.
+func (n *Node) queueClaim(partition *claims.Range, from string, req claims.Request, until time.Time) claims.Verdict {
 	switch {
-	case rg.Away(n.now):
+	case partition.Away(n.now):
 		return claims.Unavailable
-	case !rg.Add(n.now, from, ask, until):
+	case !partition.Add(n.now, from, req, until):
 		return claims.Full
 	default:
 		return claims.Granted
 	}
 }
 
-// rangeOwner is the instance that writes for a range, if it can. Instances may
-// disagree about it for a while: then several write, and compare-and-swap decides.
+// rangeOwner returns the instance that normally writes to a partition. Instances may
+// temporarily disagree about the owner; several then write, and compare-and-swap decides.
 func (n *Node) rangeOwner(i int) string {
 	entries := n.entries()
 	s := &n.claims
@@ -191,23 +199,24 @@
 	return s.owners[i]
 }
 
+// claimRange returns partition i. It creates the partition if it is not in memory.
 func (n *Node) claimRange(i int) *claims.Range {
-	rg := n.claims.ranges[i]
-	if rg == nil {
-		rg = claims.NewRange(n.random)
-		n.claims.ranges[i] = rg
+	partition := n.claims.ranges[i]
+	if partition == nil {
+		partition = claims.NewRange(n.random)
+		n.claims.ranges[i] = partition
 	}
-	return rg
+	return partition
 }
 
-// pumpClaims makes the calls that a range wants and hands on its answers.
+// pumpClaims issues the store calls that a partition requests and delivers its answers.
 func (n *Node) pumpClaims(i int) {
 	for {
-		rg := n.claimRange(i)
-		if call := rg.Step(n.now); call != nil {
+		partition := n.claimRange(i)
+		if call := partition.Step(n.now); call != nil {
 			n.callClaims(i, call)
 		}
-		answers := rg.Take()
+		answers := partition.Take()
 		if len(answers) == 0 {
 			return
 		}
@@ -217,6 +226,7 @@
 	}
 }
 
+// callClaims issues a store call for partition i.
 func (n *Node) callClaims(i int, call *claims.Call) {
 	op := n.nextOp()
 	n.claims.calls[op] = i
@@ -228,8 +238,8 @@
 	n.emit(StoreGet{Op: op, Key: key})
 }
 
-// claimStoreReplied takes the store's answer to a call of the ledger and tells
-// whether the call was one.
+// claimStoreReplied handles the result of a store call for a partition. It reports whether
+// the call was one.
 func (n *Node) claimStoreReplied(e StoreReplied) bool {
 	i, ok := n.claims.calls[e.Op]
 	if !ok {
@@ -241,7 +251,8 @@
 	return true
 }
 
-// claimAnswered hands the answer of a range to the one who asked.
+// claimAnswered delivers an answer of a partition to the peer or the request that asked
+// for it.
 func (n *Node) claimAnswered(a claims.Answer) {
 	if a.From != "" {
 		n.emit(SendPeer{To: a.From, Message: PeerMessage{ClaimReply: &a.Reply}})
@@ -251,52 +262,52 @@
 		n.endAnswered(a.Reply)
 		return
 	}
-	if w := n.claims.waiting[a.Reply.Token]; w != nil {
-		w.written = w.written || a.Written
-		n.claimDecided(w, a.Reply)
+	if pc := n.claims.waiting[a.Reply.Token]; pc != nil {
+		pc.written = pc.written || a.Written
+		n.claimDecided(pc, a.Reply)
 	}
 }
 
-// claimDecided ends the waiting of a request.
-func (n *Node) claimDecided(w *claimWaiter, reply claims.Reply) {
-	r := n.requests[w.request]
+// claimDecided passes the verdict on a claim to its request.
+func (n *Node) claimDecided(pc *claimWaiter, reply claims.Reply) {
+	r := n.requests[pc.request]
 	if reply.Verdict != claims.Granted || r == nil {
-		n.refuseClaim(w, reply)
+		n.refuseClaim(pc, reply)
 		return
 	}
-	delete(n.claims.waiting, w.ask.Token)
+	delete(n.claims.waiting, pc.ask.Token)
 	n.emit(Counted{Counter: counterClaims, Label: string(reply.Verdict), N: 1})
 	n.claimGranted(r)
 }
 
-// refuseClaim ends a request without its claim. A claim that may be in the store
-// all the same is released there in the background, or a later request with the
-// key would be refused as the duplicate of one that never ran.
-func (n *Node) refuseClaim(w *claimWaiter, reply claims.Reply) {
-	delete(n.claims.waiting, w.ask.Token)
+// refuseClaim fails a request whose claim was not granted. If the claim may still be
+// stored, it is released in the background; otherwise a later request with the key would
+// be refused as the duplicate of one that never ran.
+func (n *Node) refuseClaim(pc *claimWaiter, reply claims.Reply) {
+	delete(n.claims.waiting, pc.ask.Token)
 	n.emit(Counted{Counter: counterClaims, Label: string(reply.Verdict), N: 1})
-	if w.written && (reply.Verdict != claims.Duplicate || w.astray) {
-		n.recordEnd(w.ask, claims.Released)
+	if pc.written && (reply.Verdict != claims.Duplicate || pc.astray) {
+		n.recordEnd(pc.ask, claims.Released)
 	}
-	if r := n.requests[w.request]; r != nil {
+	if r := n.requests[pc.request]; r != nil {
 		n.claimRefused(r, reply)
 	}
 }
 
-// tickClaims does what the ledger has due by time.
+// tickClaims handles expired timeouts and due retries of claims.
 func (n *Node) tickClaims() {
 	for _, token := range slices.Sorted(maps.Keys(n.claims.waiting)) {
-		w := n.claims.waiting[token]
+		pc := n.claims.waiting[token]
 		switch {
-		case w == nil:
-		case !n.now.Before(w.until):
-			// Its write may be under way; the range has not answered yet.
-			w.written = true
-			n.refuseClaim(w, claims.Reply{Verdict: claims.Unavailable})
-		case w.owner != "" && !n.now.Before(w.forwardUntil):
-			n.askAgain(w)
-		case w.owner != "" && !w.written:
-			n.forward(w)
+		case pc == nil:
+		case !n.now.Before(pc.until):
+			// The write may be in flight, since the partition has not answered yet.
+			pc.written = true
+			n.refuseClaim(pc, claims.Reply{Verdict: claims.Unavailable})
+		case pc.owner != "" && !n.now.Before(pc.forwardUntil):
+			n.askAgain(pc)
+		case pc.owner != "" && !pc.written:
+			n.forward(pc)
 		}
 	}
 	n.tickEnds()
--- a/internal/core/claiming_test.go
+++ b/internal/core/claiming_test.go
@@ -22,8 +22,8 @@
 	return f
 }
 
-// requireRan requires that so many keys ran: none stays blocked by a claim that
-// never ran.
+// requireRan requires that exactly keys requests ran, so that no key stays blocked by a
+// claim whose request never ran.
 func (f *fleet) requireRan(t *testing.T, keys int) {
 	t.Helper()
 	ran := len(f.runs)
@@ -37,9 +37,9 @@
 	require.Equal(t, tally{}, c)
 }
 
-// The board receives the same approval note twice. Its caller sent it again
-// through another instance, in another zone, at the same moment, since the first
-// connection looked dead. Nothing but the store can tell the two apart.
+// A caller retries a request through an instance in another zone at the same moment, since
+// the first connection seems dead, and the request runs twice. Only the store can detect
+// that both have the same key.
 func TestTheSameKeyAtTwoInstancesAtOnceRunsOnce(t *testing.T) {
 	f := noteFleet(1)
 	for i := range 50 {
@@ -60,11 +60,11 @@
 	again := f.ask(f.members[3], "note-7")
 	f.run(5 * time.Second)
 	require.Equal(t, reason.Duplicate, again.outcome)
-	require.Equal(t, "answered", again.first, "what is known of the first")
+	require.Equal(t, "answered", again.first, "state of the first request")
 }
 
-// As above, while the instances disagree about who exists, so that each takes
-// itself for the owner of every range.
+// Same as above, but the instances disagree about the members of the fleet, so that each
+// considers itself the owner of every partition.
 func TestOwnersThatDisagreeRunAKeyOnce(t *testing.T) {
 	f := newFleet(2, 4, 2, fleetText(claimWindow))
 	f.listDown = true
@@ -80,9 +80,9 @@
 	f.requireRan(t, 50)
 }
 
-// A note is refused as a duplicate of one that never ran, or runs twice, because
-// the store's answer to the claim was lost: before the write, after it, or the
-// write came later than everyone had given it up.
+// The store's answer to a claim is lost before the write or after it, or the write takes
+// effect after all instances have given up on it. The request then runs twice, or is
+// refused as the duplicate of one that never ran.
 func TestLostAnswersOfTheStoreDoubleAndBlockNothing(t *testing.T) {
 	for _, kind := range []string{"answer", "write", "late"} {
 		t.Run(kind, func(t *testing.T) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// The store is away: a note must be refused, truthfully and soon, and the same
-// note sent again once the store is back must run.
+// While the store is unavailable, requests must be refused as not run within a few
+// seconds. Their keys must be free once the store is back.
 func TestStoreAwayRefusesAndDoesNotBlock(t *testing.T) {
 	f := noteFleet(4)
 	f.store.down = true
@@ -136,9 +136,9 @@
 	f.requireRan(t, 10)
 }
 
-// The owner of the ranges is frozen for longer than the claims' window, others
-// claim meanwhile, and it wakes with an old tail in mind and requests in hand that
-// it believes it may still send.
+// The owner of the partitions is frozen for longer than the claim window while others
+// write claims. It resumes with a stale tail and with requests whose claims it still
+// considers valid.
 func TestFrozenOwnerWakesWithAStaleTail(t *testing.T) {
 	f := noteFleet(5)
 	for i := range 40 {
@@ -163,12 +163,12 @@
 	}
 	f.run(20 * time.Second)
 	requireOnce(t, f)
-	require.Positive(t, f.counters["claim_takeovers/"], "others wrote in its place")
+	require.Positive(t, f.counters["claim_takeovers/"], "takeovers by other instances")
 }
 
-// An instance is killed after its claim is in the store and before the request is
-// sent: the key stays claimed, a second note with it is refused as in progress or
-// lost, and it runs only after the window.
+// An instance is killed after its claim is stored and before the request is sent. The key
+// stays claimed: a second request with it is refused as in progress or lost, and a third
+// one runs after the window.
 func TestKilledBetweenClaimAndSend(t *testing.T) {
 	f := noteFleet(6)
 	m := f.members[0]
@@ -190,8 +190,8 @@
 	requireOnce(t, f)
 }
 
-// A note that could not be sent at all was refused as not run; its caller tries
-// again at once and must not be told that it is a duplicate.
+// A request that could not be sent is refused as not run. Its caller retries at once and
+// must not be refused as a duplicate.
 func TestReleasedKeyRunsAgain(t *testing.T) {
 	f := noteFleet(7)
 	f.noAnswer = 1
@@ -205,8 +205,9 @@
 	requireOnce(t, f)
 }
 
-// A zone is cut off from the platform while the owners of half the ranges stand in
-// it. The other zone must go on, and the zone cut off must refuse truthfully.
+// A zone with the owners of half the partitions is cut off from the platform. Requests in
+// the other zone must still run, and the zone that is cut off must refuse with a true
+// outcome.
 func TestZoneCutFromThePlatformLeavesTheOtherZone(t *testing.T) {
 	f := noteFleet(8)
 	f.cutOff = func(m *member) bool { return m.zone == "zone-0" }
@@ -224,8 +225,9 @@
 	require.Equal(t, 30, ran["zone-1"])
 }
 
-// Any order of requests, freezes, kills, outages, cuts, lost answers and lists
-// that differ: no key runs twice, and no refusal says not-run of one that ran.
+// Under any order of requests, freezes, kills, outages, network partitions, lost answers
+// and differing instance lists, no key runs twice, and no request that ran is refused as
+// not run.
 func TestNoScheduleRunsAKeyTwice(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -272,31 +274,31 @@
 	})
 }
 
-// An instance wakes for a moment, freezes again just as it is asked for a note, and
-// wakes after the window; another instance was asked for the same note a millisecond
-// before it froze. The one that woke sent its note though its claim was long void, and
-// the note ran twice. Found by the schedules above, and played as they drew it.
+// An instance resumes briefly, freezes again just as it receives a request, and resumes
+// after the claim window. Another instance received a request with the same key a
+// millisecond before that freeze. The resumed instance sent its request although its claim
+// had expired, and the key ran twice. The property test above found this schedule.
 func TestAskedBeforeAFreezeLongerThanTheWindow(t *testing.T) {
 	const window = 20 * time.Second
 	f := newFleet(0, 3, 2, fleetText(window))
 	f.run(time.Second)
-	sleeper, other := f.members[0], f.members[1]
+	resumed, other := f.members[0], f.members[1]
 	for range 2 {
-		sleeper.frozenTill = f.now.Add(time.Millisecond)
+		resumed.frozenTill = f.now.Add(time.Millisecond)
 		f.run(time.Millisecond)
 	}
 	f.ask(other, "key-2")
 	f.run(time.Millisecond)
-	sleeper.frozenTill = f.now.Add(50_993 * time.Millisecond)
+	resumed.frozenTill = f.now.Add(50_993 * time.Millisecond)
 	f.run(time.Millisecond)
-	f.ask(sleeper, "key-2")
+	f.ask(resumed, "key-2")
 	f.run(time.Millisecond)
 	f.run(2 * time.Minute)
 	require.Equal(t, tally{}, f.tally(window))
 }
 
-// At a thousand notes a second the store, which takes several hundred writes a
-// second for everything, would be overrun by a write a note.
+// The store handles several hundred writes a second in total. One write per request would
+// overload it at 1,000 requests a second.
 func TestGroupCommitKeepsTheStoreUnderAHundredWrites(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ instances, zones int }{{8, 3}, {58, 3}} {
--- a/internal/core/claimpeers.go
+++ b/internal/core/claimpeers.go
@@ -6,15 +6,15 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/claims"
 )
 
-func (n *Node) sendClaim(owner string, ask claims.Request) {
-	n.emit(SendPeer{To: owner, Message: PeerMessage{Claim: &ask}})
+func (n *Node) sendClaim(owner string, req claims.Request) {
+	n.emit(SendPeer{To: owner, Message: PeerMessage{Claim: &req}})
 }
 
-// suspected tells whether an owner did not answer a short time ago.
+// suspected reports whether an owner recently failed to answer.
 func (n *Node) suspected(owner string) bool { return n.now.Before(n.claims.suspects[owner]) }
 
-// wantOwners asks for links to the owners of all ranges: an instance that has one
-// claim to make has more.
+// wantOwners requests links to the owners of all partitions, since an instance that makes
+// one claim usually makes more.
 func (n *Node) wantOwners() {
 	if n.now.Before(n.claims.wantedAt.Add(time.Second)) {
 		return
@@ -27,73 +27,73 @@
 	}
 }
 
-// peerClaim answers a peer that asks this instance for a change of a claim. It is
-// not passed on if this instance takes another for the owner: two that disagree
-// would send it to and fro.
-func (n *Node) peerClaim(from string, ask claims.Request) {
-	if ask.Expires == 0 {
+// peerClaim handles a claim request from a peer. The request is not forwarded, even if
+// this instance considers another one the owner: two instances that disagree about the
+// owner would forward it to each other endlessly.
+func (n *Node) peerClaim(from string, req claims.Request) {
+	if req.Expires == 0 {
 		return
 	}
-	i := ask.Key.Range()
-	rg := n.claimRange(i)
-	if rg.Waits(ask.Token) {
-		reply := claims.Reply{Key: ask.Key, Token: ask.Token, Set: ask.Set, Verdict: claims.Queued}
+	i := req.Key.Range()
+	partition := n.claimRange(i)
+	if partition.Waits(req.Token) {
+		reply := claims.Reply{Key: req.Key, Token: req.Token, Set: req.Set, Verdict: claims.Queued}
 		n.emit(SendPeer{To: from, Message: PeerMessage{ClaimReply: &reply}})
 		return
 	}
 	wait := claimWait
-	if ask.Set != claims.Claimed {
+	if req.Set != claims.Claimed {
 		wait = endWait
 	}
-	if verdict := n.queueClaim(rg, from, ask, n.now.Add(wait)); verdict != claims.Granted {
-		reply := claims.Reply{Key: ask.Key, Token: ask.Token, Set: ask.Set, Verdict: verdict}
+	if verdict := n.queueClaim(partition, from, req, n.now.Add(wait)); verdict != claims.Granted {
+		reply := claims.Reply{Key: req.Key, Token: req.Token, Set: req.Set, Verdict: verdict}
 		n.emit(SendPeer{To: from, Message: PeerMessage{ClaimReply: &reply}})
 		return
 	}
 	n.pumpClaims(i)
 }
 
-// peerClaimReply takes the answer of the peer that owns the range.
+// peerClaimReply handles the answer of the peer that owns the partition.
 func (n *Node) peerClaimReply(from string, reply claims.Reply) {
 	if reply.Set != claims.Claimed {
 		n.endAnswered(reply)
 		return
 	}
-	w := n.claims.waiting[reply.Token]
-	if w == nil || reply.Verdict == claims.Queued || w.owner != from && reply.Verdict != claims.Granted {
+	pc := n.claims.waiting[reply.Token]
+	if pc == nil || reply.Verdict == claims.Queued || pc.owner != from && reply.Verdict != claims.Granted {
 		return
 	}
 	if reply.Verdict == claims.Unavailable {
-		n.takeOver(w)
+		n.takeOver(pc)
 		return
 	}
-	n.claimDecided(w, reply)
+	n.claimDecided(pc, reply)
 }
 
-// takeOver claims here what the owner of the range could not: it may be frozen,
-// unreachable, or in a zone that is cut off from the platform while this one is not.
-func (n *Node) takeOver(w *claimWaiter) {
-	w.astray = w.written
-	n.claims.suspects[w.owner] = n.now.Add(suspectTime)
+// takeOver writes a claim locally because the owner of its partition could not: the owner
+// may be frozen, unreachable, or in an availability zone that has lost the platform while
+// this zone has not.
+func (n *Node) takeOver(pc *claimWaiter) {
+	pc.astray = pc.written
+	n.claims.suspects[pc.owner] = n.now.Add(suspectTime)
 	n.emit(Counted{Counter: counterClaimTakeovers, N: 1})
-	n.claimHere(w)
+	n.claimHere(pc)
 }
 
-// askAgain deals with a request whose owner has not answered in time. It is asked
-// again, and says at once if the request waits there. A silent owner is taken over
-// from; a busy one is not, since that would add a second writer to a range that is
-// behind, and the two would fall further behind.
-func (n *Node) askAgain(w *claimWaiter) {
-	if !w.written {
-		n.takeOver(w)
+// askAgain resends a claim that its owner has not answered in time. The owner replies at
+// once if the request is in its queue. This instance takes over from a silent owner, but
+// not from a busy one: a second writer would slow down a partition that is already behind.
+func (n *Node) askAgain(pc *claimWaiter) {
+	if !pc.written {
+		n.takeOver(pc)
 		return
 	}
-	w.again++
-	if w.again > 1 && n.now.Sub(n.members.heard[w.owner]) >= againWait {
-		n.takeOver(w)
+	pc.again++
+	if pc.again > 1 && n.now.Sub(n.members.heard[pc.owner]) >= againWait {
+		n.takeOver(pc)
 		return
 	}
-	w.astray = true
-	w.forwardUntil = n.now.Add(againWait)
-	n.sendClaim(w.owner, w.ask)
+	pc.astray = true
+	pc.forwardUntil = n.now.Add(againWait)
+	n.sendClaim(pc.owner, pc.ask)
 }
--- a/internal/core/claims/claims.go
+++ b/internal/core/claims/claims.go
@@ -1,11 +1,11 @@
-// Package claims keeps the ledger by which a non-idempotent request with a key
-// runs at most once in the whole fleet.
+// Package claims implements the ledger of idempotency keys. It ensures that a
+// non-idempotent request with a key runs at most once in the whole fleet.
 //
-// The ledger is a number of ranges of key hashes. Each is a log in the platform's
-// store: a ring of slots, each slot one store value that holds one segment of
-// records. Only the tail, the last segment, is ever written, by compare-and-swap.
-// A writer knows every record that counts, or its write fails; that is what makes
-// a claim exclusive, whoever writes and however late.
+// The ledger is partitioned by key hash. Each partition is a log in the platform's store:
+// a ring of slots, where each slot is one store value that holds one segment of records.
+// Only the tail, the last segment, is written, by compare-and-swap. A write succeeds only
+// if its writer has read every valid record. This makes a claim exclusive, whichever
+// instance writes it and however late.
 package claims
 
 import (
@@ -13,15 +13,15 @@
 	"encoding/binary"
 )
 
-// The shape of the ledger. It is fixed: two instances that disagreed about it
-// would look for the same key in two places, and both would run the request.
+// Fixed dimensions of the ledger. If two instances used different values, they would look
+// up the same key in different places, and both would run the request.
 const (
-	// Ranges is the number of logs. Keys are spread over them by their hash.
+	// Ranges is the number of partitions. Keys are assigned to them by hash.
 	Ranges = 32
-	// Slots is the number of store values of one log.
+	// Slots is the number of store values of one partition.
 	Slots = 256
-	// SegmentRecords is the number of records from which a segment is full. All instances must
-	// agree on when a segment is full, since a full one is never written again.
+	// SegmentRecords is the number of records at which a segment is full. All instances
+	// must use the same value, since a full segment is never written again.
 	SegmentRecords = 160
 )
 
@@ -31,8 +31,8 @@
 	Lo uint64 `json:"lo"`
 }
 
-// Key gives the hash of a customer's idempotency key for a service. It is a
-// cryptographic one, so that no caller can make its key collide with another's.
+// Key returns the hash of a customer's idempotency key for a service. The hash is
+// cryptographic so that no caller can make its key collide with another caller's.
 func Key(customer, service, key string) KeyHash {
 	var text []byte
 	for _, part := range []string{customer, service, key} {
@@ -43,23 +43,24 @@
 	return KeyHash{Hi: binary.BigEndian.Uint64(sum[:]), Lo: binary.BigEndian.Uint64(sum[8:])}
 }
 
-// Range is the range that the key belongs to.
+// Range returns the partition of the key.
 func (k KeyHash) Range() int { return int(k.Hi % Ranges) }
 
-// State is what the ledger knows of a claim.
+// State is the state of a claim in the ledger.
 type State uint8
 
 // The states of a claim.
 const (
-	// Claimed means that the request may be sent, was sent, or was lost.
+	// Claimed means that the request may be about to be sent, may have been sent, or was
+	// lost.
 	Claimed State = iota + 1
 	// Done means that the request was answered.
 	Done
-	// Released means that the request surely did not run; the key is free again.
+	// Released means that the request certainly did not run; the key is free again.
 	Released
 )
 
-// String is the word that a duplicate's answer gives for the first request.
+// String returns the state as reported to the caller of a duplicate request.
 func (s State) String() string {
 	switch s {
 	case Claimed:
@@ -73,16 +74,17 @@
 	}
 }
 
-// Request asks the owner of a range for a change of one claim.
+// Request asks the owner of a partition to change one claim.
 type Request struct {
 	Key KeyHash `json:"key"`
-	// Token identifies the attempt to claim: asking again with it is idempotent.
+	// Token identifies the claim attempt. Repeating a request with the same token is
+	// idempotent.
 	Token uint64 `json:"token"`
-	// Set is the state wanted: Claimed, Done or Released.
+	// Set is the requested state: Claimed, Done or Released.
 	Set State `json:"set"`
-	// Expires is when the claim may be forgotten, in seconds since the Unix epoch.
-	// It comes from the claimant, which sends nothing after it, and not from the
-	// range's owner, whose configured window may differ for a moment.
+	// Expires is when the claim may be dropped, in seconds since the Unix epoch. It comes
+	// from the claimant, which sends nothing after it, and not from the partition's owner,
+	// whose configured window may differ for a moment.
 	Expires uint32 `json:"expires"`
 }
 
@@ -91,16 +93,16 @@
 
 // The verdicts.
 const (
-	// Granted means that the change is in the store.
+	// Granted means that the change is stored.
 	Granted Verdict = "granted"
 	// Duplicate means that another token holds the key.
 	Duplicate Verdict = "duplicate"
-	// Unavailable means that the change may or may not be in the store.
+	// Unavailable means that the change may or may not be stored.
 	Unavailable Verdict = "unavailable"
-	// Queued means that the request waits at the owner: it says only that the owner
+	// Queued means that the request is in the owner's queue. It shows only that the owner
 	// is alive.
 	Queued Verdict = "queued"
-	// Full means that the ledger or its queue has no room and nothing was written.
+	// Full means that the ledger or the queue is full and nothing was written.
 	Full Verdict = "full"
 )
 
@@ -110,6 +112,7 @@
 	Token   uint64  `json:"token"`
 	Set     State   `json:"set"`
 	Verdict Verdict `json:"verdict"`
-	// First is the state of the claim that came first, on a duplicate.
+	// First is the state of the claim that already holds the key, if this one is a
+	// duplicate.
 	First State `json:"first,omitempty"`
 }
--- a/internal/core/claims/load.go
+++ b/internal/core/claims/load.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// loading is how far the reading of a log has come.
+// loading is the progress of reading a log.
 //
-// Segments lie in the ring in rising order with one step down after the tail, so
-// the tail is found by bisection: slot 0 holds segment first, and slot i belongs to
+// Segment numbers increase along the ring, except for one drop right after the tail. The
+// tail is therefore found by bisection: slot 0 holds segment first, and slot i belongs to
 // the same lap exactly if it holds segment first + i.
 type loading struct {
 	first uint64
 	begun bool
-	// The tail lies in [low, high).
+	// The tail is in a slot of [low, high).
 	low, high int
 	tail      Segment
 	version   uint64
-	// next is the segment to read while filling.
+	// next is the segment to read next in phase filling.
 	next uint64
 	log  log
 }
 
-func (l *loading) slot(p phase) int {
+func (l *loading) slot(current phase) int {
 	switch {
-	case p == filling:
+	case current == filling:
 		return slotOf(l.next)
 	case !l.begun:
 		return 0
@@ -30,80 +30,81 @@
 	}
 }
 
-// Replied takes the end of the call that Step returned.
-func (r *Range) Replied(now time.Time, res Result) {
-	call := r.calling
-	r.calling = nil
+// Replied handles the result of the call that Step returned.
+func (p *Range) Replied(now time.Time, res Result) {
+	call := p.calling
+	p.calling = nil
 	if call == nil {
 		return
 	}
 	if call.Swap {
-		r.swapped(now, call, res)
+		p.swapped(now, call, res)
 		return
 	}
 	if res.Status != OK && res.Status != Absent {
-		r.advancing = false
-		r.failed(now)
+		p.advancing = false
+		p.failed(now)
 		return
 	}
 	var s *Segment
 	if res.Status == OK {
 		decoded, err := Decode(res.Value)
 		if err != nil {
-			r.failed(now)
+			p.failed(now)
 			return
 		}
 		s = &decoded
 	}
-	r.failures = 0
-	switch r.phase {
+	p.failures = 0
+	switch p.phase {
 	case searching:
-		r.searched(now, s, res.Version)
+		p.searched(now, s, res.Version)
 	case filling:
-		r.filled(now, s)
+		p.filled(now, s)
 	case ready:
-		r.read(now, s, res.Version)
+		p.read(now, s, res.Version)
 	}
 }
 
-// failed delays the next call. Spread keeps instances from coming back together.
-func (r *Range) failed(now time.Time) {
-	r.failures++
+// failed applies a backoff to the next call. The jitter keeps instances from retrying at
+// the same time.
+func (p *Range) failed(now time.Time) {
+	p.failures++
 	delay := maxDelay
-	if r.failures < 8 {
-		delay = min(maxDelay, firstDelay<<(r.failures-1))
+	if p.failures < 8 {
+		delay = min(maxDelay, firstDelay<<(p.failures-1))
 	}
-	r.notBefore = now.Add(delay/2 + time.Duration(r.random.Int64N(int64(delay))))
-	r.refuseRemote()
+	p.notBefore = now.Add(delay/2 + time.Duration(p.random.Int64N(int64(delay))))
+	p.refuseRemote()
 }
 
-// refuseRemote answers the claims of peers while the store fails: the one who asked
-// may stand in an availability zone that still reaches it, and writes itself.
-func (r *Range) refuseRemote() {
-	var rest []*entry
-	for _, e := range r.queue {
-		if e.req.Set == Claimed && e.from != "" {
-			r.answer(e, Unavailable, 0)
+// refuseRemote refuses the claims of peers while the store fails. A peer may be in an
+// availability zone that still reaches the store, and then writes the claim itself.
+func (p *Range) refuseRemote() {
+	var remaining []*entry
+	for _, q := range p.queue {
+		if q.req.Set == Claimed && q.from != "" {
+			p.answer(q, Unavailable, 0)
 		} else {
-			rest = append(rest, e)
+			remaining = append(remaining, q)
 		}
 	}
-	r.queue = rest
+	p.queue = remaining
 }
 
-// reload starts over a little later, since the log is not as it was thought to be.
-func (r *Range) reload(now time.Time) {
-	r.notBefore = now.Add(reloadDelay)
-	r.phase, r.unsure, r.advancing = unloaded, false, false
-	r.unbatch()
+// reload restarts loading after a short delay, since the log has changed unexpectedly.
+func (p *Range) reload(now time.Time) {
+	p.notBefore = now.Add(reloadDelay)
+	p.phase, p.unsure, p.advancing = unloaded, false, false
+	p.unbatch()
 }
 
-// searched takes one step of the bisection.
-func (r *Range) searched(now time.Time, s *Segment, version uint64) {
-	l := &r.load
+// searched makes one step of the bisection.
+func (p *Range) searched(now time.Time, s *Segment, version uint64) {
+	l := &p.load
 	if !l.begun {
 		if s == nil {
-			r.loaded(now, log{records: make(map[KeyHash]Record)})
+			p.loaded(now, log{records: make(map[KeyHash]Record)})
 			return
 		}
 		*l = loading{begun: true, first: s.Seq, high: Slots, tail: *s, version: version}
@@ -119,79 +120,81 @@
 		return
 	}
 	l.next = l.tail.Oldest
-	r.phase = filling
+	p.phase = filling
 	if l.next == l.tail.Seq {
-		r.tailLoaded(now)
+		p.tailLoaded(now)
 	}
 }
 
-// filled takes one segment before the tail. These are full and never written
-// again; another one in the slot means that the log has moved on by a whole lap.
-func (r *Range) filled(now time.Time, s *Segment) {
-	l := &r.load
+// filled replays one segment before the tail. These segments are full and never written
+// again; a different segment in the slot means that the log has advanced by a whole lap.
+func (p *Range) filled(now time.Time, s *Segment) {
+	l := &p.load
 	if s == nil || s.Seq != l.next {
-		r.reload(now)
-		r.failed(now)
+		p.reload(now)
+		p.failed(now)
 		return
 	}
 	l.log.apply(*s)
 	l.next++
 	if l.next == l.tail.Seq {
-		r.tailLoaded(now)
+		p.tailLoaded(now)
 	}
 }
 
-func (r *Range) tailLoaded(now time.Time) {
-	r.load.log.adopt(r.load.tail, r.load.version)
-	r.loaded(now, r.load.log)
+// tailLoaded adds the tail to the replayed log and completes the loading.
+func (p *Range) tailLoaded(now time.Time) {
+	p.load.log.adopt(p.load.tail, p.load.version)
+	p.loaded(now, p.load.log)
 }
 
-// loaded ends the loading. A tail that has been written since it was read shows by
-// the conflict of the first write; duplicates are refused after another look.
-func (r *Range) loaded(now time.Time, l log) {
-	if r.log.stored() > l.stored() {
-		r.lost()
+// loaded completes the loading. If the tail was written after it was read, the first write
+// fails with a conflict. Duplicates are refused only after another read of the tail.
+func (p *Range) loaded(now time.Time, l log) {
+	if p.log.stored() > l.stored() {
+		p.lost()
 	}
-	r.log, r.load, r.phase = l, loading{}, ready
-	r.syncedAt = now.Add(-syncAge)
-	r.unsure = false
+	p.log, p.load, p.phase = l, loading{}, ready
+	p.syncedAt = now.Add(-syncAge)
+	p.unsure = false
 }
 
-// lost notes that the store came back with an older log than this instance has
-// seen: claims are missing from it. Until the last that this instance knows of has
-// expired, no claim of the range is granted here. An instance that had not read
-// the lost records cannot know; that is left open.
-func (r *Range) lost() {
-	if until := r.log.latest(); until.After(r.distrust) {
-		r.distrust = until
+// lost handles a store that returned an older log than this instance has seen, so that
+// claims are missing. No claim of the partition is granted here until the last claim known
+// to this instance has expired. An instance that has not read the lost records can't
+// detect the loss; this case is not handled.
+func (p *Range) lost() {
+	if until := p.log.latest(); until.After(p.distrust) {
+		p.distrust = until
 	}
 }
 
-// read takes a slot that a ready range has read: that of the tail, to see whether
-// it changed, or the one after a full tail.
-func (r *Range) read(now time.Time, s *Segment, version uint64) {
-	if r.advancing {
-		r.advancing = false
-		r.advance(now, s, version)
+// read handles a slot read in phase ready: either that of the tail, to detect changes, or
+// the one after a full tail.
+func (p *Range) read(now time.Time, s *Segment, version uint64) {
+	if p.advancing {
+		p.advancing = false
+		p.advance(now, s, version)
 		return
 	}
-	seq := r.log.tail.Seq
+	seq := p.log.tail.Seq
 	switch {
-	case s != nil && s.Seq == seq && version >= r.log.version:
-		r.log.adopt(*s, version)
-	case before(s, seq) && len(r.log.tail.Records) == 0 && version >= r.log.version:
-		r.log.version = version
+	case s != nil && s.Seq == seq && version >= p.log.version:
+		p.log.adopt(*s, version)
+	case before(s, seq) && len(p.log.tail.Records) == 0 && version >= p.log.version:
+		p.log.version = version
 	default:
 		if s == nil || s.Seq <= seq {
-			r.lost()
+			p.lost()
 		}
-		r.reload(now)
+		p.reload(now)
 		return
 	}
-	r.unsure, r.syncedAt = false, now
+	p.unsure, p.syncedAt = false, now
 }
 
-// before tells whether the slot of segment seq holds what it held before it.
+// before reports whether the slot of segment seq still holds the segment of the lap
+// before, or nothing on the first lap.
 func before(s *Segment, seq uint64) bool {
 	if s == nil {
 		return seq < Slots
@@ -199,64 +202,65 @@
 	return s.Seq+Slots == seq
 }
 
-// advance goes on to the segment after a full tail. The slot is free if nobody has
-// used it in this lap and every record of the lap before has expired.
+// advance moves on to the segment after a full tail. The slot is free if it has not been
+// written in this lap and every record of the lap before has expired.
 //
-// Slots are never deleted. A writer that was frozen and wakes holds the version of
-// a slot as it was; versions only grow, so its write fails once anyone has written
-// there. A deleted and created key would begin its versions anew, and the late
-// write of a stale tail could then succeed and undo the claims in between.
-func (r *Range) advance(now time.Time, s *Segment, version uint64) {
-	next := r.log.tail.Seq + 1
+// Slots are never deleted. A writer that was frozen and resumes holds an old version of a
+// slot. Versions only grow, so its write fails if the slot has been written since. If a
+// key were deleted and created again, its versions would restart, and the late write of a
+// stale tail could succeed and undo the claims made in between.
+func (p *Range) advance(now time.Time, s *Segment, version uint64) {
+	next := p.log.tail.Seq + 1
 	switch {
 	case s != nil && s.Seq == next:
-		r.log.adopt(*s, version)
-		r.syncedAt = now
+		p.log.adopt(*s, version)
+		p.syncedAt = now
 	case !before(s, next):
-		r.reload(now)
+		p.reload(now)
 	case s != nil && !expired(s.expiry(), now):
-		r.fullUntil = now.Add(fullDelay)
-		r.refuseFull()
+		p.fullUntil = now.Add(fullDelay)
+		p.refuseFull()
 	default:
-		r.log.adopt(Segment{Seq: next, Oldest: r.log.oldest}, version)
-		r.syncedAt = now
+		p.log.adopt(Segment{Seq: next, Oldest: p.log.oldest}, version)
+		p.syncedAt = now
 	}
 }
 
-// swapped takes the end of a write.
-func (r *Range) swapped(now time.Time, call *Call, res Result) {
+// swapped handles the result of a write.
+func (p *Range) swapped(now time.Time, call *Call, res Result) {
 	switch res.Status {
 	case OK:
-		r.failures = 0
-		r.written(now, call, res.Version)
+		p.failures = 0
+		p.written(now, call, res.Version)
 	case Failed:
-		r.unbatch()
-		r.failed(now)
+		p.unbatch()
+		p.failed(now)
 	case Conflict:
-		r.failures = 0
-		r.unbatch()
-		r.unsure = true
+		p.failures = 0
+		p.unbatch()
+		p.unsure = true
 	default:
-		// The write may have taken effect, or may yet. Reading the slot tells if it
-		// has: the requests then find their own tokens. If not, they are written
-		// again over the same version, of which the store lets one write pass.
-		r.unbatch()
-		r.unsure = true
-		r.failures++
+		// The write may have taken effect or may still do so. Reading the slot shows
+		// whether it has: the requests are then found with their own tokens. If not, they
+		// are written again over the same version, and the store accepts only one write
+		// per version.
+		p.unbatch()
+		p.unsure = true
+		p.failures++
 	}
 }
 
-// written makes the batch part of the log and answers it.
-func (r *Range) written(now time.Time, call *Call, version uint64) {
+// written adds the batch to the log and grants its requests.
+func (p *Range) written(now time.Time, call *Call, version uint64) {
 	s, err := Decode(call.Value)
 	if err != nil {
-		r.reload(now)
+		p.reload(now)
 		return
 	}
-	r.log.adopt(s, version)
-	r.syncedAt = now
-	for _, e := range r.batch {
-		r.answer(e, Granted, 0)
+	p.log.adopt(s, version)
+	p.syncedAt = now
+	for _, q := range p.batch {
+		p.answer(q, Granted, 0)
 	}
-	r.batch = nil
+	p.batch = nil
 }
--- a/internal/core/claims/log.go
+++ b/internal/core/claims/log.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// log is what a range knows of its log: the tail and what all records add up to.
+// log is the state of one partition's log: the tail and the effect of all records.
 type log struct {
 	tail Segment
-	// version is the store's version of the tail's slot, 0 while the slot is absent.
-	// A tail without records is not in the store yet: the version is then that of
-	// what the slot held before.
+	// version is the store's version of the tail's slot, 0 while the slot is absent. While
+	// a tail has no records, it is not stored yet, and version is that of the slot's
+	// previous content.
 	version uint64
-	// records holds the last record of each key, and released the tokens that were
-	// released and when that may be forgotten.
+	// records holds the last record of each key. released holds the released tokens and
+	// when they may be dropped.
 	records  map[KeyHash]Record
 	released map[uint64]uint32
-	// expiries are when the segments from oldest up to the tail expire.
+	// expiries holds the expiry of each segment from oldest to the tail.
 	oldest   uint64
 	expiries []uint32
 }
 
-// decision is what the log says of a request: a verdict, or a record to write.
+// decision is the result of checking a request against the log: a verdict, or a record to
+// write.
 type decision struct {
 	write   bool
 	record  Record
@@ -26,12 +27,12 @@
 	first   State
 }
 
-// decide tells what follows from the log for a request.
+// decide returns the decision on a request.
 //
-// The same token asks again after a lost answer, so its own claim is granted
-// again; but never after its release, which the claimant asks for once it has told
-// its caller that the request did not run. A claim can still be under way then at
-// an owner that is slow or was frozen, and would block the key for nothing.
+// A token may claim again after its answer was lost, and its own claim is then granted
+// again. It is never granted after its release, which the claimant requests once it has
+// reported to its caller that the request did not run. Such a late claim can still be in
+// progress at an owner that is slow or was frozen, and would block the key needlessly.
 func (l *log) decide(now time.Time, req Request) decision {
 	last, known := l.records[req.Key]
 	known = known && !last.expired(now)
@@ -54,13 +55,12 @@
 	}
 }
 
-// freedFor tells whether a claim may be written right behind the release of a token
-// in the same write. A caller that gives up and comes back soon would otherwise wait
-// for two writes, give up again, and in a busy range never get through.
+// freedFor reports whether a claim may follow the release of a token in the same write.
+// Otherwise a caller that gives up and retries soon would wait for two writes, give up
+// again, and in a busy partition never succeed.
 //
-// It holds because records are applied in their order: the release frees the key if
-// the last record of it is the released token's, and whether it is cannot change
-// before the write, or the write fails.
+// Records are applied in order, so the release frees the key if the last record of the key
+// has the released token. That record can't change before the write, or the write fails.
 func (l *log) freedFor(now time.Time, req Request, token uint64) bool {
 	if req.Set != Claimed || req.Token == token {
 		return false
@@ -72,12 +72,12 @@
 	return !known || last.expired(now) || last.State == Released || last.Token == token
 }
 
-// record is what a request wants written.
+// record returns the record that a request writes.
 func (r Request) record() Record {
 	return Record{Key: r.Key, Token: r.Token, State: r.Set, Expires: r.Expires}
 }
 
-// with returns the tail with more records, as it is to be written.
+// with returns the tail extended by records, ready to be written.
 func (l *log) with(now time.Time, records []Record) Segment {
 	l.forget(now)
 	s := Segment{Seq: l.tail.Seq, Oldest: l.oldest}
@@ -85,13 +85,13 @@
 	return s
 }
 
-// adopt takes a segment read from the store, or written to it, as the tail.
+// adopt makes a segment that was read or written the tail.
 func (l *log) adopt(s Segment, version uint64) {
 	l.tail, l.version = s, version
 	l.apply(s)
 }
 
-// apply adds a segment that follows, or extends, the last one.
+// apply adds the records of a segment that follows or extends the last one.
 func (l *log) apply(s Segment) {
 	if l.records == nil || len(l.expiries) == 0 {
 		l.oldest = s.Seq
@@ -124,7 +124,7 @@
 	l.records[r.Key] = r
 }
 
-// forget drops what has expired from the front of the log.
+// forget drops expired segments from the front of the log, and expired records with them.
 func (l *log) forget(now time.Time) {
 	n := 0
 	for n < len(l.expiries)-1 && expired(l.expiries[n], now) {
@@ -140,14 +140,14 @@
 			delete(l.records, key)
 		}
 	}
-	for token, at := range l.released {
-		if expired(at, now) {
+	for token, expires := range l.released {
+		if expired(expires, now) {
 			delete(l.released, token)
 		}
 	}
 }
 
-// stored is the number of segments that the store is known to have had.
+// stored returns the number of segments known to have been written to the store.
 func (l *log) stored() uint64 {
 	if len(l.tail.Records) == 0 {
 		return l.tail.Seq
@@ -155,7 +155,7 @@
 	return l.tail.Seq + 1
 }
 
-// latest is when the last record of all expires.
+// latest returns when the last of all records expires.
 func (l *log) latest() time.Time {
 	last := uint32(0)
 	for _, e := range l.expiries {
--- a/internal/core/claims/range.go
+++ b/internal/core/claims/range.go
@@ -6,83 +6,82 @@
 	"time"
 )
 
-// Pace and bounds of one range.
+// Write rate, limits and delays of one partition.
 const (
-	// fleetWrites is the number of writes a second that all ranges together may
-	// cost the store while every one of them is busy.
+	// fleetWrites is the number of writes a second that all partitions together may make
+	// while all of them are busy.
 	fleetWrites = 80
-	// WriteInterval is the mean time between the writes of a busy range: claims that
+	// WriteInterval is the mean time between the writes of a busy partition. Claims that
 	// arrive in between are written together.
 	WriteInterval = Ranges * time.Second / fleetWrites
-	// writeBurst is the number of writes that a range which has been quiet may make
-	// ahead of its pace, so that the few claims of a quiet fleet do not wait for it.
+	// writeBurst is the number of writes that an idle partition may make at once, so that
+	// the few claims of a lightly loaded fleet do not wait for the write interval.
 	writeBurst = 6
-	// doneDelay is how long the record that a request was answered waits for other
-	// records to be written with.
+	// doneDelay is how long a Done record waits to be written together with other records.
 	doneDelay = 2 * time.Second
-	// maxBatch is the number of records of one write. The last write of a segment may
-	// go beyond SegmentRecords by as many, so that a full one needs no short write.
+	// maxBatch is the maximum number of records in one write. The last write of a segment
+	// may exceed SegmentRecords by up to this number, so that filling a segment exactly
+	// needs no short write.
 	maxBatch = 256
-	// maxQueue bounds the requests that wait in one range.
+	// maxQueue limits the requests that wait in one partition.
 	maxQueue = 1024
-	// firstDelay and maxDelay bound the back-off after failed calls.
+	// firstDelay and maxDelay are the first and the longest backoff after failed calls.
 	firstDelay = 200 * time.Millisecond
 	maxDelay   = 5 * time.Second
-	// reloadDelay keeps a log that changes while it is read from being read without
-	// end.
+	// reloadDelay limits how often a log that changes while it is loaded is loaded again.
 	reloadDelay = 100 * time.Millisecond
-	// fullDelay is how long a full ledger is not asked again.
+	// fullDelay is how long a full ledger is not checked again.
 	fullDelay = time.Second
-	// syncAge is how old the knowledge of the log may be on which a request is
-	// answered without a write, such as a duplicate that is refused: meanwhile another
-	// writer may have released the key. A claim is granted on none but the newest.
+	// syncAge is the maximum age of the state on which a request is answered without a
+	// write, such as a duplicate. In the meantime, another writer may have released the
+	// key. Claims are granted only on the newest state.
 	syncAge = time.Second
 )
 
-// Status says how a call on the store ended, in the words of the core's events.
+// Status is the result of a store call, in the words of the core's events.
 type Status string
 
-// The ends of a call.
+// Results of a store call.
 const (
-	// OK means that a read found the key or a write took effect.
+	// OK means that a read found the key or that a write took effect.
 	OK Status = "ok"
 	// Conflict means that the version differed and nothing was written.
 	Conflict Status = "conflict"
 	// Absent means that the key does not exist.
 	Absent Status = "absent"
-	// Failed means that the call surely took no effect.
+	// Failed means that the call certainly took no effect.
 	Failed Status = "failed"
-	// Unknown means that a write may have taken effect, or may yet.
+	// Unknown means that a write may have taken effect or may still do so.
 	Unknown Status = "unknown"
 )
 
-// Call is a call on the store that a range wants made.
+// Call is a store call that a partition requests.
 type Call struct {
 	Slot int
-	// Swap writes Value over Version; otherwise the slot is read.
+	// Swap writes Value if the slot has Version. Without it, the slot is read.
 	Swap    bool
 	Version uint64
 	Value   []byte
 }
 
-// Result is the end of a Call.
+// Result is the result of a Call.
 type Result struct {
 	Status  Status
 	Version uint64
 	Value   []byte
 }
 
-// Answer is the answer to one request that was added to a range.
+// Answer is the answer to one request that was added to a partition.
 type Answer struct {
-	// From is what Add was given.
+	// From is the sender that was passed to Add.
 	From  string
 	Reply Reply
-	// Written says that the request was part of a write at some time, so that it
-	// may be in the store whatever the verdict.
+	// Written means that the request was part of at least one write, so that it may be
+	// stored whatever the verdict.
 	Written bool
 }
 
-// entry is a request that waits.
+// entry is a request in the queue or in the batch.
 type entry struct {
 	from    string
 	req     Request
@@ -91,24 +90,24 @@
 	written bool
 }
 
-// phase is what a range does next.
+// phase is the loading phase of a partition.
 type phase uint8
 
 const (
-	// unloaded ranges know nothing of their log.
+	// unloaded partitions have read nothing of their log.
 	unloaded phase = iota
-	// searching ranges look for the tail by bisection of the ring.
+	// searching partitions look for the tail by bisection of the ring.
 	searching
-	// filling ranges read the segments before the tail.
+	// filling partitions read the segments before the tail.
 	filling
-	// ready ranges know the log up to the tail.
+	// ready partitions have loaded the log up to the tail.
 	ready
 )
 
-// Range decides about the keys of one range from what its log says.
+// Range grants and refuses the claims on the keys of one partition, based on its log.
 //
-// Any number of instances may work on the same range at once; the one that the
-// fleet takes for its owner only saves the others' writes.
+// Any number of instances may write to the same partition at once. Routing the requests to
+// one owner only reduces the number of writes.
 type Range struct {
 	random  *rand.Rand
 	phase   phase
@@ -117,208 +116,213 @@
 	queue   []*entry
 	batch   []*entry
 	answers []Answer
-	// calling is the call under way; at most one is.
+	// calling is the call in flight; there is at most one.
 	calling *Call
-	// unsure is set while the tail in the store may differ from the one known.
+	// unsure is set while the stored tail may differ from the known one.
 	unsure bool
-	// advancing is set while the slot after a full tail is read.
+	// advancing is set while the slot after a full tail is being read.
 	advancing bool
-	syncedAt  time.Time
+	// syncedAt is when the known log was last equal to the stored one.
+	syncedAt time.Time
+	// nextWrite is when the next write is due under the write rate, and notBefore when the
+	// backoff after a failed call ends.
 	nextWrite time.Time
 	notBefore time.Time
 	failures  int
 	fullUntil time.Time
-	// distrust is until when no claim is granted, after the store lost records.
+	// distrust is the time until which no claim is granted, after the store lost records.
 	distrust time.Time
 	usedAt   time.Time
 }
 
-// NewRange returns a range that has not read its log yet.
+// NewRange returns a partition that has not loaded its log yet.
 func NewRange(random *rand.Rand) *Range { return &Range{random: random} }
 
-// Add queues a request; it is answered by Take, as unavailable if nothing else is
-// known at the time until. It returns false if the queue is full.
-func (r *Range) Add(now time.Time, from string, req Request, until time.Time) bool {
-	r.usedAt = now
-	if len(r.queue) >= maxQueue {
+// Add queues a request. Take returns its answer, which is Unavailable if there is no other
+// by the time until. Add returns false if the queue is full.
+func (p *Range) Add(now time.Time, from string, req Request, until time.Time) bool {
+	p.usedAt = now
+	if len(p.queue) >= maxQueue {
 		return false
 	}
-	r.queue = append(r.queue, &entry{from: from, req: req, added: now, until: until})
+	p.queue = append(p.queue, &entry{from: from, req: req, added: now, until: until})
 	return true
 }
 
-// Waits tells whether a request of a token waits already.
-func (r *Range) Waits(token uint64) bool {
-	same := func(e *entry) bool { return e.req.Token == token }
-	return slices.ContainsFunc(r.queue, same) || slices.ContainsFunc(r.batch, same)
+// Waits reports whether a request with the token is waiting.
+func (p *Range) Waits(token uint64) bool {
+	hasToken := func(q *entry) bool { return q.req.Token == token }
+	return slices.ContainsFunc(p.queue, hasToken) || slices.ContainsFunc(p.batch, hasToken)
 }
 
-// Away tells whether the store does not answer for this range, so that a claim
-// would wait in vain.
-func (r *Range) Away(now time.Time) bool { return r.failures > 0 && now.Before(r.notBefore) }
+// Away reports whether the store calls of this partition are in backoff after failures, so
+// that a claim would time out in the queue.
+func (p *Range) Away(now time.Time) bool { return p.failures > 0 && now.Before(p.notBefore) }
 
-// Idle tells whether nothing waits and nothing has been asked for a time, so that
-// the log may be dropped from memory and read again later.
-func (r *Range) Idle(now time.Time, unused time.Duration) bool {
-	waits := r.calling != nil || len(r.queue) > 0 || len(r.batch) > 0
-	return !waits && now.Sub(r.usedAt) > unused && !now.Before(r.distrust)
+// Idle reports whether no request is waiting and none was added for the duration unused.
+// The log may then be dropped from memory and loaded again later.
+func (p *Range) Idle(now time.Time, unused time.Duration) bool {
+	waits := p.calling != nil || len(p.queue) > 0 || len(p.batch) > 0
+	return !waits && now.Sub(p.usedAt) > unused && !now.Before(p.distrust)
 }
 
-// Take returns the answers since it was last called.
-func (r *Range) Take() []Answer {
-	answers := r.answers
-	r.answers = nil
+// Take returns the answers given since the last call of Take.
+func (p *Range) Take() []Answer {
+	answers := p.answers
+	p.answers = nil
 	return answers
 }
 
-// Step returns the next call to make, or nil if there is none now. Its end must
-// be told by Replied.
-func (r *Range) Step(now time.Time) *Call {
-	if r.calling != nil {
+// Step returns the next store call to make, or nil if there is none now. The caller must
+// pass its result to Replied.
+func (p *Range) Step(now time.Time) *Call {
+	if p.calling != nil {
 		return nil
 	}
-	r.expire(now)
-	if len(r.queue) == 0 || now.Before(r.notBefore) {
+	p.expire(now)
+	if len(p.queue) == 0 || now.Before(p.notBefore) {
 		return nil
 	}
-	switch r.phase {
+	switch p.phase {
 	case unloaded:
-		r.load = loading{}
-		r.phase = searching
-		r.calling = &Call{Slot: 0}
+		p.load = loading{}
+		p.phase = searching
+		p.calling = &Call{Slot: 0}
 	case searching, filling:
-		r.calling = &Call{Slot: r.load.slot(r.phase)}
+		p.calling = &Call{Slot: p.load.slot(p.phase)}
 	case ready:
-		r.calling = r.work(now)
+		p.calling = p.work(now)
 	}
-	return r.calling
+	return p.calling
 }
 
-// work gives the next call of a range that knows its log.
-func (r *Range) work(now time.Time) *Call {
-	if r.unsure {
-		return &Call{Slot: r.log.tail.slot()}
+// work returns the next call of a partition in phase ready.
+func (p *Range) work(now time.Time) *Call {
+	if p.unsure {
+		return &Call{Slot: p.log.tail.slot()}
 	}
-	if r.log.tail.full() {
-		if now.Before(r.fullUntil) {
-			r.refuseFull()
+	if p.log.tail.full() {
+		if now.Before(p.fullUntil) {
+			p.refuseFull()
 			return nil
 		}
-		r.advancing = true
-		return &Call{Slot: slotOf(r.log.tail.Seq + 1)}
+		p.advancing = true
+		return &Call{Slot: slotOf(p.log.tail.Seq + 1)}
 	}
-	records, urgent, stale := r.decide(now)
+	records, urgent, stale := p.decide(now)
 	if stale {
-		return &Call{Slot: r.log.tail.slot()}
+		return &Call{Slot: p.log.tail.slot()}
 	}
-	if len(records) == 0 || !urgent || !r.paced(now) {
-		r.unbatch()
+	if len(records) == 0 || !urgent || !p.paced(now) {
+		p.unbatch()
 		return nil
 	}
-	for _, e := range r.batch {
-		e.written = true
+	for _, q := range p.batch {
+		q.written = true
 	}
-	segment := r.log.with(now, records)
-	return &Call{Slot: segment.slot(), Swap: true, Version: r.log.version, Value: segment.Encode()}
+	segment := p.log.with(now, records)
+	return &Call{Slot: segment.slot(), Swap: true, Version: p.log.version, Value: segment.Encode()}
 }
 
-// paced takes a write from the pace of the range and tells whether it had one.
-func (r *Range) paced(now time.Time) bool {
-	if now.Before(r.nextWrite.Add(-writeBurst * WriteInterval)) {
+// paced reports whether the write rate permits a write now, and counts the write if so.
+func (p *Range) paced(now time.Time) bool {
+	if now.Before(p.nextWrite.Add(-writeBurst * WriteInterval)) {
 		return false
 	}
-	if r.nextWrite.Before(now) {
-		r.nextWrite = now
+	if p.nextWrite.Before(now) {
+		p.nextWrite = now
 	}
-	r.nextWrite = r.nextWrite.Add(WriteInterval)
+	p.nextWrite = p.nextWrite.Add(WriteInterval)
 	return true
 }
 
-// decide answers what needs no write and moves to the batch what does. Stale says
-// that something would be answered on knowledge that may be out of date.
-func (r *Range) decide(now time.Time) (records []Record, urgent, stale bool) {
-	taken := make(map[KeyHash]bool)
-	freed := make(map[KeyHash]uint64)
-	var rest []*entry
-	for _, e := range r.queue {
-		if taken[e.req.Key] || len(r.batch) == maxBatch {
-			rest = append(rest, e)
+// decide answers the requests that need no write and moves those that need one to the
+// batch. stale means that a request would have been answered on state that may be out of
+// date.
+func (p *Range) decide(now time.Time) (records []Record, urgent, stale bool) {
+	claimed := make(map[KeyHash]bool)
+	released := make(map[KeyHash]uint64)
+	var remaining []*entry
+	for _, q := range p.queue {
+		if claimed[q.req.Key] || len(p.batch) == maxBatch {
+			remaining = append(remaining, q)
 			continue
 		}
-		d := r.log.decide(now, e.req)
-		if token, ok := freed[e.req.Key]; ok {
-			if !r.log.freedFor(now, e.req, token) {
-				rest = append(rest, e)
+		d := p.log.decide(now, q.req)
+		if token, ok := released[q.req.Key]; ok {
+			if !p.log.freedFor(now, q.req, token) {
+				remaining = append(remaining, q)
 				continue
 			}
-			d = decision{write: true, record: e.req.record()}
+			d = decision{write: true, record: q.req.record()}
 		}
 		switch {
-		case d.write && e.req.Set == Claimed && now.Before(r.distrust):
-			r.answer(e, Unavailable, 0)
+		case d.write && q.req.Set == Claimed && now.Before(p.distrust):
+			p.answer(q, Unavailable, 0)
 		case d.write:
-			if e.req.Set == Released {
-				freed[e.req.Key] = e.req.Token
+			if q.req.Set == Released {
+				released[q.req.Key] = q.req.Token
 			} else {
-				taken[e.req.Key] = true
+				claimed[q.req.Key] = true
 			}
-			r.batch = append(r.batch, e)
+			p.batch = append(p.batch, q)
 			records = append(records, d.record)
-			urgent = urgent || e.req.Set != Done || now.Sub(e.added) >= doneDelay
-		case now.Sub(r.syncedAt) >= syncAge && (d.verdict != Granted || e.req.Set != Claimed):
+			urgent = urgent || q.req.Set != Done || now.Sub(q.added) >= doneDelay
+		case now.Sub(p.syncedAt) >= syncAge && (d.verdict != Granted || q.req.Set != Claimed):
 			stale = true
-			rest = append(rest, e)
+			remaining = append(remaining, q)
 		default:
-			r.answer(e, d.verdict, d.first)
+			p.answer(q, d.verdict, d.first)
 		}
 	}
-	r.queue = rest
+	p.queue = remaining
 	if stale {
-		r.unbatch()
+		p.unbatch()
 	}
 	return records, urgent, stale
 }
 
-// unbatch puts the batch back to the head of the queue.
-func (r *Range) unbatch() {
-	if len(r.batch) == 0 {
+// unbatch moves the batch back to the head of the queue.
+func (p *Range) unbatch() {
+	if len(p.batch) == 0 {
 		return
 	}
-	r.queue = append(r.batch, r.queue...)
-	r.batch = nil
+	p.queue = append(p.batch, p.queue...)
+	p.batch = nil
 }
 
-// expire gives up the requests that have waited long enough.
-func (r *Range) expire(now time.Time) {
-	rest := r.queue[:0]
-	for _, e := range r.queue {
-		if now.Before(e.until) {
-			rest = append(rest, e)
+// expire answers the requests that have waited too long as unavailable.
+func (p *Range) expire(now time.Time) {
+	remaining := p.queue[:0]
+	for _, q := range p.queue {
+		if now.Before(q.until) {
+			remaining = append(remaining, q)
 			continue
 		}
-		r.answer(e, Unavailable, 0)
+		p.answer(q, Unavailable, 0)
 	}
-	clear(r.queue[len(rest):])
-	r.queue = rest
+	clear(p.queue[len(remaining):])
+	p.queue = remaining
 }
 
-// refuseFull answers the claims while the ledger has no room; ends of claims wait.
-func (r *Range) refuseFull() {
-	var rest []*entry
-	for _, e := range r.queue {
-		if e.req.Set == Claimed {
-			r.answer(e, Full, 0)
+// refuseFull refuses the queued claims while the ledger is full. Claim ends stay in the
+// queue.
+func (p *Range) refuseFull() {
+	var remaining []*entry
+	for _, q := range p.queue {
+		if q.req.Set == Claimed {
+			p.answer(q, Full, 0)
 		} else {
-			rest = append(rest, e)
+			remaining = append(remaining, q)
 		}
 	}
-	r.queue = rest
+	p.queue = remaining
 }
 
-func (r *Range) answer(e *entry, v Verdict, first State) {
-	r.answers = append(r.answers, Answer{
-		From:    e.from,
-		Reply:   Reply{Key: e.req.Key, Token: e.req.Token, Set: e.req.Set, Verdict: v, First: first},
-		Written: e.written,
+func (p *Range) answer(q *entry, v Verdict, first State) {
+	p.answers = append(p.answers, Answer{
+		From:    q.from,
+		Reply:   Reply{Key: q.req.Key, Token: q.req.Token, Set: q.req.Set, Verdict: v, First: first},
+		Written: q.written,
 	})
 }
--- a/internal/core/claims/range_test.go
+++ b/internal/core/claims/range_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// ring is the store's part of one range.
+// ring is a fake of the store with the slots of one partition.
 type ring struct {
 	values   [claims.Slots][]byte
 	versions [claims.Slots]uint64
@@ -41,7 +41,7 @@
 	return claims.Request{Key: claims.KeyHash{Hi: key}, Token: token, Set: set, Expires: uint32(expires.Unix())}
 }
 
-// settle lets a range make its calls until it is done and returns its answers.
+// settle makes the calls of a partition until there are none left and returns its answers.
 func settle(s *ring, r *claims.Range, now time.Time) []claims.Answer {
 	var answers []claims.Answer
 	for range 1000 {
@@ -55,7 +55,7 @@
 	return append(answers, r.Take()...)
 }
 
-// one asks for one claim and returns the verdict.
+// one makes one request and returns its verdict.
 func one(t *testing.T, s *ring, r *claims.Range, now time.Time, req claims.Request) claims.Verdict {
 	t.Helper()
 	require.True(t, r.Add(now, "", req, now.Add(3*time.Second)))
@@ -67,7 +67,8 @@
 	return answers[0].Reply.Verdict
 }
 
-// fill claims n keys from first on, a batch a write, and returns the time after it.
+// fill claims n keys, beginning with first, one batch a write, and returns the time after
+// the last write.
 func fill(t *testing.T, s *ring, r *claims.Range, now time.Time, first, n uint64, window time.Duration) time.Time {
 	t.Helper()
 	for key := first; key < first+n; {
@@ -84,8 +85,8 @@
 	return now
 }
 
-// After days the ring has gone round: a fresh owner must find the tail, all claims
-// that count and none that has expired, and must not need to read it all.
+// After the log has wrapped around the ring, a new owner must find the tail, every valid
+// claim and no expired one, without reading the whole ring.
 func TestRingGoesRound(t *testing.T) {
 	s := &ring{}
 	r := newRange()
@@ -96,7 +97,7 @@
 	fresh := newRange()
 	s.reads = 0
 	require.Equal(t, claims.Duplicate, one(t, s, fresh, now, ask(last, 7, claims.Claimed, now.Add(time.Minute))))
-	t.Logf("%d reads to load a ring that went round, with %v of claims in it", s.reads, 10*time.Second)
+	t.Logf("%d reads to load a ring that has wrapped around, with %v of claims", s.reads, 10*time.Second)
 	require.Less(t, s.reads, claims.Slots)
 	now = now.Add(2 * time.Minute)
 	require.Equal(t, claims.Granted, one(t, s, fresh, now, ask(last, 8, claims.Claimed, now.Add(time.Minute))))
@@ -104,8 +105,7 @@
 		"the old owner's tail is stale")
 }
 
-// A ledger that is too small for its load must refuse, not forget a claim that
-// still counts.
+// A ledger that is too small for its load must refuse claims rather than drop valid ones.
 func TestAFullRingRefuses(t *testing.T) {
 	s := &ring{}
 	r := newRange()
@@ -117,9 +117,10 @@
 	require.Equal(t, claims.Granted, one(t, s, r, now, ask(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
 }
 
-// A note runs twice after the store was restored from an old copy that lacks its
-// claim. An instance that has seen the newer log notices and refuses meanwhile; one
-// that has not cannot know (left open, see docs/design/claims.md).
+// The store is restored from an old copy that lacks a claim, and the request with its key
+// runs twice. An instance that has seen the newer log detects the loss and refuses claims
+// until the lost ones have expired. An instance that has not can't detect it (not handled,
+// see docs/design/claims.md).
 func TestAStoreThatLostClaimsIsNotTrusted(t *testing.T) {
 	s := &ring{}
 	r := newRange()
@@ -163,7 +164,7 @@
 	}
 }
 
-// newRangeOf lets a range of its own carry out one request.
+// newRangeOf executes one request on a new partition and reports whether it was granted.
 func newRangeOf(s *ring, now time.Time, req claims.Request) bool {
 	r := newRange()
 	r.Add(now.Add(-3*time.Second), "", req, now.Add(time.Second))
@@ -184,11 +185,11 @@
 	})
 }
 
-// A committee member's note is never sent: the caller gives up after half a second
-// and tries again, and each try waits for the release of the one before, which takes
-// a write, and then for its own. In a busy range that is longer than the caller's
-// patience. The release and the next claim must go in one write; a second release or
-// claim of the key waits, and another token's claim is not freed by it.
+// A caller gives up after half a second and retries. Each retry waits for the release of
+// the previous attempt, which takes a write, and then for its own claim. In a busy
+// partition that exceeds the caller's timeout, so that the request never runs. A release
+// and the next claim must share one write. A second claim of the key waits, and the
+// release of another token does not free the key.
 func TestReleaseAndNextClaimShareAWrite(t *testing.T) {
 	s, r := &ring{}, newRange()
 	expires, until := start.Add(time.Hour), start.Add(time.Minute)
@@ -210,5 +211,5 @@
 	require.Equal(t, map[uint64]claims.Verdict{
 		10: claims.Granted, 11: claims.Granted, 12: claims.Duplicate, 99: claims.Granted, 21: claims.Duplicate,
 	}, verdicts)
-	require.Equal(t, claims.Duplicate, one(t, s, newRange(), start, ask(1, 13, claims.Claimed, expires)), "read anew")
+	require.Equal(t, claims.Duplicate, one(t, s, newRange(), start, ask(1, 13, claims.Claimed, expires)), "after the log is loaded again")
 }
--- a/internal/core/claims/segment.go
+++ b/internal/core/claims/segment.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// clockMargin is how far the clocks of two instances may differ: a record counts
-// for this much longer than it says.
+// clockMargin is the maximum difference between the clocks of two instances. Records stay
+// valid for this long after their expiry.
 const clockMargin = 30 * time.Second
 
-// Record is one entry of the log. Of several for one key the last counts.
+// Record is one entry of the log. The last record of a key determines its state.
 type Record struct {
 	Key   KeyHash
 	Token uint64
@@ -19,19 +19,19 @@
 	Expires uint32
 }
 
-// expired tells whether the record no longer counts.
+// expired reports whether the record is no longer valid.
 func (r Record) expired(now time.Time) bool { return expired(r.Expires, now) }
 
-func expired(at uint32, now time.Time) bool {
-	return now.Add(-clockMargin).Unix() > int64(at)
+func expired(expires uint32, now time.Time) bool {
+	return now.Add(-clockMargin).Unix() > int64(expires)
 }
 
 // Segment is the content of one slot.
 type Segment struct {
-	// Seq numbers the segments of a log from 0; segment Seq lies in slot Seq % Slots.
+	// Seq numbers the segments of a log from 0. Segment Seq is in slot Seq % Slots.
 	Seq uint64
-	// Oldest is the first segment that still had a record that counts when this
-	// one was written: a reader needs the segments from it to this one.
+	// Oldest is the first segment that still had a valid record when this one was written.
+	// A reader needs the segments from Oldest to this one.
 	Oldest  uint64
 	Records []Record
 }
@@ -42,7 +42,7 @@
 
 func slotOf(seq uint64) int { return int(seq % Slots) }
 
-// expiry is when the last of the records expires.
+// expiry returns when the last of the records expires.
 func (s *Segment) expiry() uint32 {
 	last := uint32(0)
 	for _, r := range s.Records {
@@ -51,7 +51,7 @@
 	return last
 }
 
-// The binary form: a version byte, Seq, Oldest, then the records.
+// Binary encoding: a version byte, Seq, Oldest, then the records.
 const (
 	formVersion  = 1
 	headerBytes  = 1 + 8 + 8
@@ -59,10 +59,10 @@
 	segmentBytes = headerBytes + (SegmentRecords+maxBatch)*recordBytes
 )
 
-// ErrSegment means that a store value is not a segment of this log.
-var ErrSegment = errors.New("claims: not a segment")
+// ErrSegment means that a store value is not a valid segment.
+var ErrSegment = errors.New("claims: invalid segment")
 
-// Encode gives the store value of the segment.
+// Encode returns the store value of the segment.
 func (s *Segment) Encode() []byte {
 	b := make([]byte, 0, headerBytes+len(s.Records)*recordBytes)
 	b = append(b, formVersion)
@@ -78,7 +78,7 @@
 	return b
 }
 
-// Decode reads a store value.
+// Decode parses a store value.
 func Decode(b []byte) (Segment, error) {
 	if len(b) < headerBytes || len(b) > segmentBytes || b[0] != formVersion || (len(b)-headerBytes)%recordBytes != 0 {
 		return Segment{}, ErrSegment
--- a/internal/core/config/check.go
+++ b/internal/core/config/check.go
@@ -13,24 +13,27 @@
 	"github.com/ebonydyke/ebonydyke/internal/jsonc"
 )
 
-// Finding is one thing wrong with a text, at its place.
+// Finding is one error in a configuration text, with its position.
 type Finding = jsonc.Finding
 
-// Findings is every finding of one text, reported together.
+// Findings holds all findings of one text.
 type Findings = jsonc.Findings
 
-// Limits of the operators' text.
+// Limits on the configuration text.
 const (
-	// MaxEncoded is the largest text, in bytes as JSON writes it into the
-	// envelope: the platform holds values up to a megabyte.
+	// MaxEncoded is the maximum size of the text in bytes, as encoded in the JSON
+	// envelope. The platform's store holds values of up to a megabyte.
 	MaxEncoded = 1_000_000 - 1_000
-	// MaxName is the longest name, in bytes. Names stand in headers and labels.
+	// MaxName is the maximum length of a name in bytes. Names are used in headers and
+	// labels.
 	MaxName = 64
-	// MaxServices bounds the services, and so the work of following what each needs.
+	// MaxServices limits the services and thereby the work of resolving their
+	// dependencies.
 	MaxServices = 1_000
-	// MaxAttemptsLimit bounds max_attempts.
+	// MaxAttemptsLimit is the maximum of max_attempts.
 	MaxAttemptsLimit = 10
-	// MinWindow leaves a request with a key time to run within its claim.
+	// MinWindow is the minimum claim window. It leaves a request with a key time to run
+	// before its claim expires.
 	MinWindow = 15 * time.Second
 )
 
@@ -39,11 +42,11 @@
 	modelPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/@-]*$`)
 )
 
-// Check reads and checks the text of an envelope. The error is of type Findings
-// and holds every finding, in the order of the text.
+// Check parses and validates the text of an envelope. The error is of type Findings and
+// holds every finding, in the order of the text.
 func Check(file string, env Envelope) (*Snapshot, error) {
-	if what := unfit(env.Text); what != "" {
-		return nil, Findings{{File: file, Line: 1, Column: 1, What: what}}
+	if problem := unfit(env.Text); problem != "" {
+		return nil, Findings{{File: file, Line: 1, Column: 1, What: problem}}
 	}
 	doc, err := jsonc.Parse(file, []byte(env.Text))
 	if err != nil {
@@ -61,9 +64,9 @@
 	return compile(env, t), nil
 }
 
-// CheckText checks a text that was read from another form than the fleet's own, such as
-// the platform's, and takes it over. Its findings stand at the beginning of the file, as
-// they have no place in a text of ours.
+// CheckText validates a configuration that was read from another format, such as the
+// platform's, and builds its snapshot. All findings have the position of the beginning of
+// the file, as they have no position in a text of the fleet's own format.
 func CheckText(file string, env Envelope, t Text) (*Snapshot, error) {
 	doc, err := jsonc.Parse(file, []byte("{}"))
 	if err != nil {
@@ -78,15 +81,15 @@
 	return compile(env, t), nil
 }
 
-// Defaults returns a text of one service and one customer that leave out all that
-// may be left out, as it is taken.
+// Defaults returns the configuration of one service and one customer with all optional
+// fields at their defaults.
 func Defaults() Text {
 	t := Text{Services: make([]Service, 1), Customers: make([]Customer, 1)}
 	fillDefaults(&t)
 	return t
 }
 
-// unfit says why a text cannot be stored as it is, if so.
+// unfit returns why a text can't be stored, or "" if it can.
 func unfit(text string) string {
 	if !utf8.ValidString(text) {
 		return "bytes that are not UTF-8, expected UTF-8 text"
@@ -98,18 +101,18 @@
 	return ""
 }
 
-// checker adds to doc what is wrong with the meaning of text.
+// checker validates text and adds its findings to doc.
 type checker struct {
 	doc  *jsonc.Document
 	text *Text
-	// services is the index of each service by name.
+	// services maps the name of each service to its index.
 	services map[string]int
-	// backends is the path of each backend server by name.
+	// backends maps the name of each backend server to its path.
 	backends map[string]string
 }
 
-// checkGiven finds numbers that were written but may not be, before defaults
-// take the place of those that were left out.
+// checkGiven finds explicit numbers that are out of range. It runs before defaults replace
+// the omitted ones.
 func (c *checker) checkGiven() {
 	for i := range c.text.Services {
 		s := &c.text.Services[i]
@@ -118,7 +121,7 @@
 		c.positive(path+".capacity", float64(s.Capacity))
 		c.positive(path+".max_attempts", float64(s.MaxAttempts))
 		c.positive(path+".deadline", float64(s.Deadline))
-		// 0 would be taken for left out; no retries are written as max_attempts 1.
+		// 0 would be treated as omitted. max_attempts 1 disables retries.
 		c.positive(path+".retry_share", s.RetryShare)
 	}
 	for i := range c.text.Customers {
@@ -129,7 +132,7 @@
 	c.positive("limits.max_body", float64(c.text.Limits.MaxBody))
 }
 
-// positive finds a value of 0 or less that stands in the text.
+// positive adds a finding if the value is present in the text and 0 or less.
 func (c *checker) positive(path string, value float64) {
 	if value <= 0 && c.doc.Has(path) {
 		c.doc.Add(path, "%s must be above 0", lastField(path))
@@ -158,7 +161,7 @@
 	c.checkClaims()
 }
 
-// checkNames finds bad and repeated names of services and backend servers.
+// checkNames finds invalid and duplicate names of services.
 func (c *checker) checkNames() {
 	for i := range c.text.Services {
 		s := &c.text.Services[i]
@@ -213,14 +216,14 @@
 	if s.MaxAttempts > MaxAttemptsLimit {
 		c.doc.Add(path+".max_attempts", "max_attempts %d, expected at most %d", s.MaxAttempts, MaxAttemptsLimit)
 	}
-	// A claim that expires while its request still runs would let a repeated key
-	// run a second time.
+	// If a claim expired while its request is running, a second request with the key would
+	// run too.
 	if s.Deadline >= c.text.Claims.Window && c.text.Claims.Window > 0 {
 		c.doc.Add(path+".deadline", "deadline %v, expected under the claim window of %v", time.Duration(s.Deadline), time.Duration(c.text.Claims.Window))
 	}
 }
 
-// checkModels finds model names that two services answer to.
+// checkModels finds invalid model names and models of more than one service.
 func (c *checker) checkModels() {
 	owners := make(map[string]string)
 	for i := range c.text.Services {
@@ -272,8 +275,8 @@
 	}
 }
 
-// checkKeys finds empty keys and those that stand for two customers. The finding
-// does not repeat the key: findings are printed and logged.
+// checkKeys finds empty API keys and keys of more than one customer. The finding does not
+// contain the key, since findings are printed and logged.
 func (c *checker) checkKeys(path string, list []string, keys map[string]string) {
 	for i, key := range list {
 		where := at(path, i)
@@ -297,21 +300,21 @@
 
 func (c *checker) name(path, name string) { CheckName(c.doc, path, name) }
 
-// CheckName adds a finding for a name that may not stand in headers, metric labels
-// and paths, or is missing.
+// CheckName adds a finding if a name is missing or not usable in headers, metric labels
+// and paths.
 func CheckName(doc *jsonc.Document, path, name string) {
 	if len(name) > MaxName || !namePattern.MatchString(name) {
 		doc.Add(path, "%s %q, expected up to %d letters, digits and ._- beginning with a letter or digit", lastField(path), name, MaxName)
 	}
 }
 
-// where gives the place of a path as line:column.
+// where returns the position of a path as line:column.
 func (c *checker) where(path string) string {
 	line, column := c.doc.Place(path)
 	return fmt.Sprintf("%d:%d", line, column)
 }
 
-// lastField gives the field at the end of a path.
+// lastField returns the last field of a path.
 func lastField(path string) string {
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
--- a/internal/core/config/check_routes.go
+++ b/internal/core/config/check_routes.go
@@ -2,10 +2,11 @@
 
 import "strings"
 
-// checkRoutes finds routes that lead nowhere, or two that claim the same path.
+// checkRoutes validates the routes and finds those with the same name or the same host and
+// prefix.
 func (c *checker) checkRoutes() {
 	names := make(map[string]string, len(c.text.Routes))
-	places := make(map[[2]string]string, len(c.text.Routes))
+	matches := make(map[[2]string]string, len(c.text.Routes))
 	for i := range c.text.Routes {
 		r := &c.text.Routes[i]
 		path := at("routes", i)
@@ -15,11 +16,11 @@
 		} else {
 			names[r.Name] = path + ".name"
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if first, ok := places[place]; ok {
+		match := [2]string{r.Host, r.Prefix}
+		if first, ok := matches[match]; ok {
 			c.doc.Add(path+".prefix", "host and prefix are already those of the route at %s", c.where(first))
 		} else {
-			places[place] = path + ".name"
+			matches[match] = path + ".name"
 		}
 		c.checkRoute(path, r)
 	}
--- a/internal/core/config/check_test.go
+++ b/internal/core/config/check_test.go
@@ -13,7 +13,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/jsonc"
 )
 
-// base is a text without findings. The tests change one thing in it.
+// base is a configuration text without findings. Each test changes one part of it.
 const base = `{
 "services": [
 {"name": "llm", "kind": "model", "depends_on": ["portal"], "backend_servers": [
@@ -62,14 +62,13 @@
 		{"too large", `"claims"`, "// " + strings.Repeat(`"`, config.MaxEncoded/2) + "\n" + `"claims"`, `t:1:1: text takes `},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, 1, strings.Count(base, c.old), "the change must hit one place")
+			require.Equal(t, 1, strings.Count(base, c.old), "the replaced text must occur exactly once")
 			require.ErrorContains(t, check(strings.Replace(base, c.old, c.new, 1)), c.want)
 		})
 	}
 }
 
-// TestFindingsTogether gives findings of the syntax tree and of the meaning in
-// one report.
+// TestFindingsTogether requires findings from parsing and from validation in one report.
 func TestFindingsTogether(t *testing.T) {
 	text := strings.NewReplacer(`"10m"`, `10`, `["portal"]`, `["x"]`, `10.0.0.1:80`, `e1`, `"from_platform"`, `"from_platforms"`).Replace(base)
 	var findings config.Findings
@@ -77,9 +76,9 @@
 	require.Len(t, findings, 5, findings.Error())
 }
 
-// TestEveryServiceNeedsAll is a text of almost a megabyte in which each service
-// names every one, and so closes some 45,000 cycles. The report of them must stay
-// short: every instance that reads the text from the store logs and keeps it.
+// In a text of almost a megabyte, each service depends on every service, which makes some
+// 45,000 cycles. The report must stay short, since every instance that reads the text from
+// the store logs the report and keeps it.
 func TestEveryServiceNeedsAll(t *testing.T) {
 	const services = 300
 	var all, text strings.Builder
@@ -128,8 +127,8 @@
 	})
 }
 
-// BenchmarkCheck checks a text of the two-year size. An instance does it between
-// two decisions, for each of 1,000 changes a day.
+// BenchmarkCheck checks a text of the size expected after two years. An instance checks a
+// text between two decisions, for each of 1,000 changes a day.
 func BenchmarkCheck(b *testing.B) {
 	for _, customers := range []int{10, 960, 9600} {
 		var text strings.Builder
--- a/internal/core/config/cycles.go
+++ b/internal/core/config/cycles.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// visit is how far the search for cycles has come with a service.
+// visit is the state of a service in the search for cycles.
 type visit uint8
 
 const (
@@ -15,19 +15,20 @@
 	visited
 )
 
-// maxShown is the number of services of a cycle that a finding names.
+// maxShown is the maximum number of services of a cycle that a finding names.
 const maxShown = 8
 
-// cycleSearch walks the dependencies depth first. A dependency on a service of
-// the trail closes a cycle; each is reported once, where it closes.
+// cycleSearch traverses the dependencies depth first. A dependency on a service of the
+// current path closes a cycle. Each cycle is reported once, at the dependency that closes
+// it.
 type cycleSearch struct {
 	checker *checker
 	visits  []visit
 	trail   []string
 }
 
-// checkCycles finds services that need themselves through others. The resolver
-// of dependencies follows them to their end, so a cycle would never end.
+// checkCycles finds services that depend on themselves, directly or indirectly. The
+// dependency resolver follows dependencies to their end, so a cycle would never end.
 func (c *checker) checkCycles() {
 	search := cycleSearch{checker: c, visits: make([]visit, len(c.text.Services))}
 	for i := range c.text.Services {
@@ -57,8 +58,8 @@
 	s.visits[i] = visited
 }
 
-// report tells of a cycle that closes at name. A long one is told by its ends: a
-// text may hold very many of them.
+// report adds a finding for a cycle that closes at name. Long cycles are shortened, since
+// one text can contain very many of them.
 func (s *cycleSearch) report(path, name string) {
 	cycle := s.trail[slices.Index(s.trail, name):]
 	shown := strings.Join(cycle[:min(len(cycle), maxShown)], " -> ")
--- a/internal/core/config/needs.go
+++ b/internal/core/config/needs.go
@@ -5,35 +5,36 @@
 	"slices"
 )
 
-// Needs lists the services that a service needs, directly or through others, in
-// the order of their names. Each stands once: services that share what they need
-// would otherwise multiply the work of a request with each layer of the text.
+// Needs returns the names of the services that a service depends on, directly or
+// indirectly, in sorted order and without duplicates. With duplicates, shared dependencies
+// would multiply the work of a request with each level of dependencies.
 func (s *Snapshot) Needs(service string) []string { return s.needs[service] }
 
-// allNeeds works out Needs for every service of a text without cycles.
+// allNeeds computes the transitive dependencies of every service. They must have no
+// cycles.
 func allNeeds(services []Service) map[string][]string {
-	direct := make(map[string][]string, len(services))
+	declared := make(map[string][]string, len(services))
 	for i := range services {
-		direct[services[i].Name] = services[i].DependsOn
+		declared[services[i].Name] = services[i].DependsOn
 	}
-	needs := make(map[string][]string, len(services))
-	var of func(name string) []string
-	of = func(name string) []string {
-		if list, done := needs[name]; done {
+	resolved := make(map[string][]string, len(services))
+	var resolve func(name string) []string
+	resolve = func(name string) []string {
+		if list, done := resolved[name]; done {
 			return list
 		}
 		set := make(map[string]bool)
-		for _, dependency := range direct[name] {
+		for _, dependency := range declared[name] {
 			set[dependency] = true
-			for _, further := range of(dependency) {
-				set[further] = true
+			for _, indirect := range resolve(dependency) {
+				set[indirect] = true
 			}
 		}
-		needs[name] = slices.Sorted(maps.Keys(set))
-		return needs[name]
+		resolved[name] = slices.Sorted(maps.Keys(set))
+		return resolved[name]
 	}
-	for name := range direct {
-		of(name)
+	for name := range declared {
+		resolve(name)
 	}
-	return needs
+	return resolved
 }
--- a/internal/core/config/snapshot.go
+++ b/internal/core/config/snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Defaults for what the operators' text leaves out.
+// Defaults for fields that the configuration text omits.
 const (
 	DefaultSkewBound   = 1.25
 	DefaultCapacity    = 64
@@ -18,16 +18,15 @@
 	DefaultWindow      = Duration(10 * time.Minute)
 )
 
-// Snapshot is one checked configuration. It is never changed once built, so any
-// goroutine may read it.
+// Snapshot is one validated configuration. It is immutable, so any goroutine may read it.
 type Snapshot struct {
-	// Generation is the envelope's.
+	// Generation is that of the envelope.
 	Generation uint64
-	// Edit is the envelope's.
+	// Edit is that of the envelope.
 	Edit string
-	// Claims sizes the ledger.
+	// Claims configures the ledger of idempotency keys.
 	Claims Claims
-	// Limits bound what callers may send.
+	// Limits are the limits on callers' requests.
 	Limits    CallerLimits
 	services  map[string]*Service
 	models    map[string]*Service
@@ -37,35 +36,35 @@
 	// routes maps hosts to their routes by prefix.
 	routes map[string]map[string]*Route
 	names  []string
-	// fromPlatform is set if a service draws on the platform's entries.
+	// fromPlatform is set if any service takes its backend servers from the platform.
 	fromPlatform bool
-	// fixed maps the fixed backend servers to their services.
+	// fixed maps each backend server in the text to its service.
 	fixed map[string]string
-	// needs lists what each service needs, directly or through others.
+	// needs holds the direct and indirect dependencies of each service.
 	needs map[string][]string
 }
 
-// Service returns the service by its name, or nil.
+// Service returns the service with the given name, or nil.
 func (s *Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Model returns the service that answers to a model name, or nil.
+// Model returns the service of a model name, or nil.
 func (s *Snapshot) Model(name string) *Service { return s.models[name] }
 
-// Customer returns the customer by its name, or nil.
+// Customer returns the customer with the given name, or nil.
 func (s *Snapshot) Customer(name string) *Customer { return s.customers[name] }
 
-// CustomerOfKey returns the customer that an API key belongs to, or nil.
+// CustomerOfKey returns the customer with the given API key, or nil.
 func (s *Snapshot) CustomerOfKey(key string) *Customer { return s.byKey[key] }
 
-// FromPlatform tells whether any service's backend servers are those that have an
-// entry in the platform's store.
+// FromPlatform reports whether any service takes its backend servers from the entries in
+// the platform's store.
 func (s *Snapshot) FromPlatform() bool { return s.fromPlatform }
 
-// HasKeys tells whether callers on routes must show API keys.
+// HasKeys reports whether callers on routes must present API keys.
 func (s *Snapshot) HasKeys() bool { return len(s.byKey) > 0 }
 
-// Route returns the route of a host with the longest prefix that begins path, or
-// nil. The path is without its query.
+// Route returns the route of a host with the longest prefix that matches path, or nil. The
+// path must not include the query.
 func (s *Snapshot) Route(host, path string) *Route {
 	routes := s.routes[host]
 	for end := len(path); end > 0; {
@@ -81,16 +80,16 @@
 	return nil
 }
 
-// ServiceOf returns the service that names a backend server in the text, or "".
+// ServiceOf returns the service that lists a backend server in the text, or "".
 func (s *Snapshot) ServiceOf(backend string) string { return s.fixed[backend] }
 
-// Services lists the services' names in the order of the text.
+// Services returns the names of the services in the order of the text.
 func (s *Snapshot) Services() []string { return s.names }
 
 // Customers returns the number of customers.
 func (s *Snapshot) Customers() int { return len(s.customers) }
 
-// compile builds the snapshot of a text that has passed its checks.
+// compile builds the snapshot of a validated text.
 func compile(env Envelope, t Text) *Snapshot {
 	s := &Snapshot{
 		Generation: env.Generation,
@@ -146,7 +145,7 @@
 	}
 }
 
-// fillDefaults sets what the text leaves out.
+// fillDefaults sets the omitted fields to their defaults.
 func fillDefaults(t *Text) {
 	for i := range t.Services {
 		fillService(&t.Services[i])
--- a/internal/core/reason/reason_test.go
+++ b/internal/core/reason/reason_test.go
@@ -15,8 +15,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// TestReasonsStandEverywhere compares the declared reasons, the list that the
-// metrics are made from, and the table for operators.
+// TestReasonsStandEverywhere compares the declared reasons with the list for the metrics
+// and with the table for operators.
 func TestReasonsStandEverywhere(t *testing.T) {
 	var all []string
 	for _, r := range reason.All {
@@ -35,7 +35,7 @@
 	require.Equal(t, all, documented)
 }
 
-// declared reads the constants of type Reason from the source, None left out.
+// declared returns the values of the constants of type Reason in the source, except None.
 func declared(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "reason.go", nil, 0)
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -1,5 +1,4 @@
-// Package retry decides what follows an attempt: nothing, another attempt or a
-// final failure.
+// Package retry classifies the outcomes of attempts and limits retries by a budget.
 package retry
 
 import (
@@ -8,34 +7,35 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// Outcome says how one attempt at a backend server ended.
+// Outcome is the result of one attempt at a backend server.
 type Outcome string
 
-// Every attempt ends as exactly one of these.
+// Every attempt has exactly one of these outcomes.
 const (
 	// NotSent means that no byte of the request left this instance.
 	NotSent Outcome = "not-sent"
-	// Refused means that the backend server said it did not start the request.
+	// Refused means that the backend server reported that it did not start the request.
 	Refused Outcome = "refused"
-	// Unknown means that bytes may have left and no answer began.
+	// Unknown means that bytes may have left this instance and no answer began.
 	Unknown Outcome = "unknown"
 	// Answered means that the whole answer arrived.
 	Answered Outcome = "answered"
-	// Broken means that the answer was cut part way.
+	// Broken means that the answer was cut off.
 	Broken Outcome = "broken"
-	// Failed means that the backend server's whole answer says that it failed.
+	// Failed means that the backend server answered completely and reported a failure.
 	Failed Outcome = "failed"
-	// Spoiled means that what came is not the backend server's answer to this request.
+	// Spoiled means that the received data is not the backend server's answer to this
+	// request.
 	Spoiled Outcome = "spoiled"
 )
 
-// MayHaveRun tells whether a backend server may have started the request in an
-// attempt that ended so.
+// MayHaveRun reports whether a backend server may have started the request in an attempt
+// with this outcome.
 func (o Outcome) MayHaveRun() bool {
 	return o != NotSent && o != Refused
 }
 
-// Reason is the word for a request that failed by this outcome.
+// Reason returns the reason for a request that failed with this outcome.
 func (o Outcome) Reason() reason.Reason {
 	switch o {
 	case NotSent:
@@ -55,14 +55,13 @@
 	}
 }
 
-// Budget bounds the retries of one service to a share of its requests, so that a
-// sick pool is not also given a storm of repeated requests.
+// Budget limits the retries of one service to a share of its requests, so that retries do
+// not multiply the load of an overloaded pool.
 //
-// It is a bucket that holds at most a burst, gains a share with each request, and
-// refills with time. So in any span of time an instance retries at most the burst,
-// the refill, and that share of the span's requests; with the fleet's allowance
-// divided among the instances, the same holds for the fleet without a word between
-// them.
+// It is a token bucket: each request adds a share of a token, and time adds more, up to
+// the burst. In any period, an instance thus retries at most the burst, plus the refill,
+// plus the share of the period's requests. The fleet's allowance is divided among the
+// instances, so that the same limit holds for the fleet without coordination.
 type Budget struct {
 	share  float64
 	burst  float64
@@ -71,22 +70,23 @@
 	at     time.Time
 }
 
-// NewBudget returns a full budget that earns share tokens a request.
+// NewBudget returns a full budget that gains share tokens a request.
 func NewBudget(share, burst float64) *Budget {
 	return &Budget{share: share, tokens: burst, burst: burst}
 }
 
-// Earn adds a share of a retry for one request.
+// Earn adds the share of one request.
 func (b *Budget) Earn() { b.add(b.share) }
 
-// Resize sets the burst and the refill a second, when the fleet or the configuration
-// changes. What was earned stays as far as it fits; what is added comes empty.
+// Resize sets the share, the burst and the refill a second when the fleet or the
+// configuration changes. Existing tokens are kept up to the new burst; a larger burst adds
+// none.
 func (b *Budget) Resize(share, burst, refill float64) {
 	b.share, b.burst, b.refill = share, burst, refill
 	b.tokens = min(b.tokens, burst)
 }
 
-// Pass lets time pass up to now.
+// Pass adds the refill for the time up to now.
 func (b *Budget) Pass(now time.Time) {
 	if !b.at.IsZero() {
 		b.add(b.refill * now.Sub(b.at).Seconds())
@@ -94,7 +94,7 @@
 	b.at = now
 }
 
-// Take spends one retry and tells whether there was one.
+// Take spends one token and reports whether there was one.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -9,8 +9,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// A pool falls sick and every request fails. Without a budget each would be sent
-// as often as it may, and the pool, sick from load, would get three times as much.
+// An overloaded pool fails every request. Without a budget, each request would be retried
+// up to its maximum number of attempts, which would triple the load of the pool.
 func TestBudgetBoundsTheStorm(t *testing.T) {
 	tests := []struct {
 		name                string
@@ -53,9 +53,9 @@
 	}
 }
 
-// A pool is sick for minutes at an instance that sees few requests. Its budget comes
-// back with time, and in no ten seconds does it spend more than its allowance and its
-// requests' share.
+// A pool fails for minutes at an instance that receives few requests. The budget is
+// refilled with time, and in no period of ten seconds does it permit more retries than its
+// allowance and its share of the requests.
 func TestBudgetComesBackWithTime(t *testing.T) {
 	const allowance, span = 6.0, 10
 	b := retry.NewBudget(0.2, allowance/2)
--- a/internal/core/routing/hint.go
+++ b/internal/core/routing/hint.go
@@ -6,41 +6,43 @@
 	"time"
 )
 
-// Hint says where a chat's last turn was placed. Callers carry it between turns,
-// so that the fleet keeps nothing for millions of chats that may return.
+// Hint identifies the backend server that served the previous turn of a chat. Callers send
+// it with the next turn, so that the fleet needs no state for the millions of chats that
+// may return.
 //
-// It comes back from outside and may be forged or stale. It only ever proposes a
-// candidate that the configuration and the membership name; every bound and limit
-// applies to it as to any other, so the worst that it can cost is reuse.
+// A hint is untrusted input: it may be forged or stale. It can only propose a candidate
+// that the configuration and the membership contain, and all bounds and limits apply to
+// that candidate. At worst, a bad hint costs the reuse of a cached prefix.
 type Hint struct {
 	Backend     string
 	Incarnation uint64
-	// Epoch is when the placement was made, in minutes since 1970. A hint is
-	// dropped once no backend server can be expected to hold the prefix still.
+	// Epoch is when the placement was made, in minutes since the Unix epoch. A hint is
+	// dropped once no backend server is expected to still hold the prefix.
 	Epoch uint64
 }
 
 const (
 	hintVersion = 1
-	// hintMaxName bounds the backend server's name.
+	// hintMaxName limits the backend server's name, in bytes.
 	hintMaxName = 128
-	// hintMaxBytes is the version, two varints and the name.
+	// hintMaxBytes is the size of the version, two varints and the longest name.
 	hintMaxBytes = 1 + 2*binary.MaxVarintLen64 + hintMaxName
-	// hintMaxAge is the longest pause after which a prefix is still looked for
-	// where it was rather than where the ranking puts the chat.
+	// hintMaxAge is the maximum age of a hint. After a longer pause, the chat is placed by
+	// its ranking instead of where its prefix was.
 	hintMaxAge = 12 * time.Hour
-	// hintMaxAhead allows for another instance's clock.
+	// hintMaxAhead is the tolerance for the clock of another instance.
 	hintMaxAhead = 5 * time.Minute
 )
 
-// NewHint returns the hint of a placement made at now.
+// NewHint returns the hint for a placement made at now.
 func NewHint(c *Candidate, now time.Time) Hint {
 	return Hint{Backend: c.Name, Incarnation: c.Incarnation, Epoch: epoch(now)}
 }
 
 func epoch(t time.Time) uint64 { return uint64(max(0, t.Unix()/60)) }
 
-// Encode returns the opaque text of the hint, or "" for a name too long for one.
+// Encode returns the opaque text of the hint, or "" if the backend server's name is
+// missing or too long.
 func (h Hint) Encode() string {
 	if h.Backend == "" || len(h.Backend) > hintMaxName {
 		return ""
@@ -53,7 +55,7 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// DecodeHint reads what Encode wrote. Anything else is no hint.
+// DecodeHint parses the result of Encode. It returns false for any other text.
 func DecodeHint(text string) (Hint, bool) {
 	if len(text) == 0 || len(text) > base64.RawURLEncoding.EncodedLen(hintMaxBytes) {
 		return Hint{}, false
@@ -64,7 +66,7 @@
 		return Hint{}, false
 	}
 	b := buf[1:n]
-	at, k := binary.Uvarint(b)
+	minutes, k := binary.Uvarint(b)
 	if k <= 0 {
 		return Hint{}, false
 	}
@@ -73,10 +75,10 @@
 	if k <= 0 || len(b) == k || len(b)-k > hintMaxName {
 		return Hint{}, false
 	}
-	return Hint{Backend: string(b[k:]), Incarnation: incarnation, Epoch: at}, true
+	return Hint{Backend: string(b[k:]), Incarnation: incarnation, Epoch: minutes}, true
 }
 
-// Fresh tells whether the prefix may still be where the hint says.
+// Fresh reports whether the backend server may still hold the prefix.
 func (h Hint) Fresh(now time.Time) bool {
 	return h.Epoch <= epoch(now.Add(hintMaxAhead)) && h.Epoch >= epoch(now.Add(-hintMaxAge))
 }
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing ranks the backend servers of a service for a chat and walks the
-// ranking to the first one under the load bound.
+// Package routing ranks the backend servers of a service for a chat and chooses the
+// highest-ranked one whose load is within the limits.
 package routing
 
 import (
@@ -14,56 +14,61 @@
 	Name    string
 	Address string
 	Zone    string
-	// Incarnation is the one that membership knows; 0 when nothing named one.
+	// Incarnation is the incarnation known to membership, or 0 if it is unknown.
 	Incarnation uint64
 	// Hash is the rendezvous hash of the name, computed once.
 	Hash uint64
-	// Load is the estimate of its requests in progress.
+	// Load is the estimated number of its requests in progress.
 	Load float64
-	// Capacity is the load that it must not exceed, and Slots the part of it that it works
-	// on at once; 0 if it does not say.
+	// Capacity is the maximum load. Slots is the number of requests that it processes
+	// concurrently, or 0 if it does not report one.
 	Capacity, Slots float64
-	// Far says that it stands in another availability zone than this instance.
+	// Far means that it is in another availability zone than this instance.
 	Far bool
-	// Unreachable says that this instance could not connect to it lately.
+	// Unreachable means that this instance recently failed to connect to it.
 	Unreachable bool
-	// Withheld is the part of its share, under 1, that a flapping backend server
-	// does not get yet. It holds while others have room and refuses nothing.
+	// Withheld is the fraction, under 1, of its share of requests that a flapping backend
+	// server does not receive yet. It lowers the rank and refuses nothing: it has no
+	// effect unless other backend servers have room.
 	Withheld float64
 }
 
-// Limits are the loads up to which a backend server may be given one more request.
+// Limits are the maximum loads, including the new request, at which a backend server is
+// chosen.
 type Limits struct {
-	// Inner is where the walk goes on to the next backend server of the ranking.
+	// Inner is the load above which the next backend server of the ranking is preferred.
 	Inner float64
-	// Hinted is where a hinted backend server is passed over.
+	// Hinted is the load above which a hint is ignored.
 	Hinted float64
-	// Outer is the promised bound: no backend server over it is ever chosen.
+	// Outer is the guaranteed bound. No backend server above it is chosen.
 	Outer float64
 }
 
-// Choice is one decision to take.
+// Choice is the input of one placement decision.
 type Choice struct {
 	// Chat is the hash by which the candidates are ranked.
 	Chat uint64
 	// Hinted is the index of the candidate that a valid hint names, or None.
 	Hinted int
-	// PreferNear ranks the own availability zone before all others. It suits
-	// requests that no cached prefix draws to any one backend server.
+	// PreferNear ranks this instance's availability zone before all others. It is meant
+	// for requests that have no cached prefix on any backend server.
 	PreferNear bool
-	// Tried are the names of backend servers that this request failed at. They come
-	// after all others: in a pool of one, a second attempt still has a place to go.
+	// Tried holds the names of the backend servers where this request has failed. They
+	// rank last rather than being excluded, so that a second attempt is possible in a pool
+	// of one.
 	Tried  []string
 	Limits Limits
-	// Draw, from 0 to under 1, passes over a backend server whose slots do not suffice
-	// for its load, for as large a part of the requests as they do not suffice for.
+	// Draw is a random number in [0, 1). A backend server whose load exceeds its slots is
+	// ranked lower if Draw is above Slots divided by the load, that is, for the fraction
+	// of requests that exceeds the slots.
 	Draw float64
 }
 
-// None is the index of no candidate.
+// None is the index for no candidate.
 const None = -1
 
-// The ranks by which a candidate comes before another one whatever its score.
+// Rank bits. A candidate with a lower rank is chosen before one with a higher rank,
+// regardless of their scores.
 const (
 	rankFar = 1 << iota
 	rankOverInner
@@ -73,11 +78,11 @@
 	rankLast
 )
 
-// Pick returns the index of the candidate to choose, or None if every one is over
-// its capacity or over the outer limit. Candidates are sorted by name.
+// Pick returns the index of the chosen candidate, or None if every one exceeds its
+// capacity or the outer limit. Candidates must be sorted by name.
 //
-// One pass over the candidates finds what a walk along the sorted ranking would,
-// without sorting: the highest score among the lowest rank.
+// One pass finds the candidate with the highest score in the lowest rank, which is the one
+// that sorting by rank and score would put first.
 func Pick(candidates []Candidate, choice *Choice) int {
 	if choice.Hinted >= 0 && choice.hintTaken(&candidates[choice.Hinted]) {
 		return choice.Hinted
@@ -98,7 +103,7 @@
 	return best
 }
 
-// rank is over rankLast for a candidate that must not be chosen at all.
+// rank returns the rank of a candidate, or more than rankLast if it must not be chosen.
 func (ch *Choice) rank(c *Candidate) int {
 	load := c.Load + 1
 	if load > c.Capacity || load > ch.Limits.Outer {
@@ -131,39 +136,39 @@
 	return !c.Unreachable && !slices.Contains(ch.Tried, c.Name)
 }
 
-// Where the inner limits lie.
+// Placement of the inner and hinted limits.
 const (
-	// margin is how far under the bound every limit but the outer one lies, in
-	// square roots of the mean: loads wander by about one such root.
+	// margin is the distance of all limits but the outer one from the bound, in square
+	// roots of the mean load. Loads fluctuate by about one square root of the mean.
 	margin = 0.4
-	// The limits of a chat without a hint are spread over this part of what the
-	// margin leaves above the mean.
+	// The inner limits of chats without a hint are spread over this part of the room
+	// between the mean and the margin.
 	unhintedLow, unhintedHigh = 0.3, 1.0
-	// The limits of a first turn, which has no prefix to find, are spread lower and
-	// so keep room for the turns that return.
+	// The inner limits of first turns are spread lower, which leaves room for returning
+	// turns: a first turn has no cached prefix to reuse.
 	firstLow, firstHigh = 0.0, 0.3
 )
 
-// Kind is what a request stands to lose when it is placed elsewhere.
+// Kind classifies requests by how much a different placement costs them.
 type Kind int
 
 // The kinds of request.
 const (
-	// Unhinted is a chat whose caller sends no hints: its ranking is all there is.
+	// Unhinted is a chat whose caller sends no hints, so that only the ranking leads it
+	// back to its cached prefix.
 	Unhinted Kind = iota
-	// First is a chat without a hint of a caller that does send them.
+	// First is the first turn of a chat whose caller sends hints.
 	First
 )
 
-// LimitsFor returns the limits of one decision: total requests in progress at n
-// backend servers, and the bound as a multiple of their mean.
+// LimitsFor returns the limits for one decision, from the total of requests in progress at
+// n backend servers and the bound as a multiple of their mean.
 //
-// The mean falls as other requests end, and every load is an estimate, so a
-// backend server filled up to the bound crosses it a moment later. The limits
-// therefore lie under the bound by a margin that shrinks with the mean. The inner
-// one is also spread by the chat's hash, the same on every instance, so that
-// instances which see the same stale load neither all stop at one backend server
-// at once nor all move on to the same next one.
+// The mean falls as other requests end, and every load is an estimate, so a backend server
+// filled up to the bound would exceed it a moment later. The limits are therefore below
+// the bound by a margin that shrinks with the mean. The inner limit is also spread by the
+// chat's hash, equally on every instance. Instances with the same stale load therefore
+// neither all stop using one backend server at once nor all move to the same next one.
 func LimitsFor(bound, total float64, n int, chat uint64, kind Kind) Limits {
 	mean := (total + 1) / float64(n)
 	room := max(0, (bound-1)*mean-margin*math.Sqrt(mean))
@@ -172,19 +177,19 @@
 		low, high = firstLow, firstHigh
 	}
 	spread := rendezvous.Unit(chat)
-	even := math.Ceil(mean)
+	ceilMean := math.Ceil(mean)
 	return Limits{
-		Inner:  max(1, even, math.Floor(mean+room*(low+(high-low)*spread))),
-		Hinted: max(1, even, math.Floor(mean+room)),
+		Inner:  max(1, ceilMean, math.Floor(mean+room*(low+(high-low)*spread))),
+		Hinted: max(1, ceilMean, math.Floor(mean+room)),
 		Outer:  Limit(bound, total, n),
 	}
 }
 
-// NoLimits are for loads that are no measure of the moment.
+// NoLimits returns infinite limits, for services whose load estimates are not current.
 func NoLimits() Limits { return Limits{Inner: math.Inf(1), Hinted: math.Inf(1), Outer: math.Inf(1)} }
 
-// Written returns the limits as they can be written in JSON, which has no infinite
-// number: zeros if there are none.
+// Written returns the limits for encoding as JSON, which has no infinite numbers. It
+// returns zeros instead of NoLimits.
 func (l Limits) Written() Limits {
 	if l == NoLimits() {
 		return Limits{}
@@ -192,22 +197,22 @@
 	return l
 }
 
-// Loosen moves the outer limit by a number of requests that the promise allows
-// beyond the multiple of the mean. Where loads are small, that number is most of
-// what is allowed.
+// Loosen raises the outer limit by the number of requests that is permitted beyond the
+// multiple of the mean. For small loads, this number is most of the permitted load.
 func (l Limits) Loosen(slack int) Limits {
 	l.Outer += float64(slack)
 	return l
 }
 
-// SessionLimits returns the limits for a request whose prompt leads it, like all
-// others of its session, to one backend server: total requests in progress at n
-// backend servers, the promised multiple of their mean and the slack beyond it, and
-// the part of the room that these leave which the session may fill.
+// SessionLimits returns the limits for a request whose prompt prefix directs it, like all
+// others of its session, to one backend server. total is the number of requests in
+// progress at n backend servers, bound the guaranteed multiple of their mean, slack the
+// number of requests permitted beyond it, and part the fraction of the resulting room that
+// the session may fill.
 //
-// The other limits keep away from the bound because loads there are the aim. Here the
-// aim is that a prompt is read once, and only the promise itself ends the stay; what
-// is left of the room is for loads that are half a second old.
+// Other limits keep a distance from the bound because they balance the load. Here the goal
+// is to process a prompt only once, so a session stays until the bound itself is reached.
+// The rest of the room allows for load reports that are half a second old.
 func SessionLimits(bound, total float64, slack, n int, part float64) Limits {
 	mean := (total + 1) / float64(n)
 	room := (bound-1)*mean + float64(slack)
@@ -215,8 +220,8 @@
 	return Limits{Inner: inner, Hinted: inner, Outer: Limit(bound, total, n) + float64(slack)}
 }
 
-// Limit is the promised bound: that multiple of the mean once the new request is
-// counted, and never under one.
+// Limit returns the guaranteed bound: a multiple of the mean load that includes the new
+// request, and at least 1.
 func Limit(bound, total float64, n int) float64 {
 	return max(1, math.Ceil(bound*(total+1)/float64(n)))
 }
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -32,7 +32,8 @@
 	return sum
 }
 
-// walk is the plain definition of the choice: sort everything, take the first.
+// walk is the reference implementation of Pick: it sorts all candidates and takes the
+// first.
 func walk(list []routing.Candidate, ch *routing.Choice) int {
 	order := make([]int, 0, len(list))
 	for i := range list {
@@ -72,8 +73,8 @@
 	return order[0]
 }
 
-// The one pass must choose what the sorted walk chooses, for every mix of loads,
-// hints, earlier failures, distances and capacities; and never one over a limit.
+// The single pass must choose the same candidate as sorting, for every combination of
+// loads, hints, earlier failures, zones and capacities, and never one above a limit.
 func TestPickIsTheWalkAlongTheRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := candidates(rapid.IntRange(1, 40).Draw(t, "n"), func(int) float64 {
@@ -102,15 +103,15 @@
 			for i := range list {
 				fits := list[i].Load+1 <= ch.Limits.Outer && list[i].Load+1 <= list[i].Capacity
 				if slices.Contains(ch.Tried, list[got].Name) && fits {
-					require.Contains(t, ch.Tried, list[i].Name, "a tried one while an untried one fits")
+					require.Contains(t, ch.Tried, list[i].Name, "chose a tried candidate while an untried one fits")
 				}
 			}
 		}
 	})
 }
 
-// Whatever the loads, with exact knowledge some backend server is under the inner
-// limit, so the walk ends there and the promised bound is not even approached.
+// If loads are exact, some backend server is below the inner limit whatever the loads are,
+// so that the load of the chosen one stays clear of the guaranteed bound.
 func TestSomeCandidateIsUnderTheInnerLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := candidates(rapid.IntRange(1, 60).Draw(t, "n"), func(int) float64 {
@@ -124,8 +125,8 @@
 	})
 }
 
-// When a backend server leaves, a chat that was not there must stay where it is:
-// otherwise one departure costs the whole pool its caches.
+// When a backend server leaves, only its own chats may move. Otherwise one departure would
+// invalidate the caches of the whole pool.
 func TestLeavingMovesOnlyItsOwnChats(t *testing.T) {
 	list := candidates(12, func(int) float64 { return 0 })
 	left := slices.Delete(slices.Clone(list), 5, 6)
@@ -149,13 +150,13 @@
 	require.True(t, ok)
 	require.Equal(t, hint, got)
 	require.True(t, got.Fresh(now.Add(2*time.Hour)))
-	require.True(t, got.Fresh(now.Add(-time.Minute)), "another instance's clock")
+	require.True(t, got.Fresh(now.Add(-time.Minute)), "tolerates a clock that is behind")
 	require.False(t, got.Fresh(now.Add(24*time.Hour)))
 	require.False(t, got.Fresh(now.Add(-time.Hour)))
 }
 
-// A hint comes from outside: any bytes must either be refused or read as exactly
-// the hint that encodes to them again, and never crash.
+// Hints are untrusted input: any bytes must either be rejected or decode to a hint that
+// encodes to the same text again, without a panic.
 func FuzzDecodeHint(f *testing.F) {
 	f.Add("")
 	f.Add("AcDbhQ4AZW5naW5lLWI")
@@ -183,7 +184,7 @@
 				chat := rendezvous.Score(uint64(i), 1)
 				ch := routing.Choice{Chat: chat, Hinted: routing.None, Limits: routing.LimitsFor(1.25, sum, n, chat, routing.Unhinted)}
 				if routing.Pick(list, &ch) == routing.None {
-					b.Fatal("none chosen")
+					b.Fatal("no candidate chosen")
 				}
 			}
 		})
