--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spend spends bytes a second, a tenth of them on loads, for some seconds.
+// spend records a number of bytes per second, a tenth of them for loads, for some seconds.
 func spend(b *Budget, from time.Time, bytes int, seconds int) time.Time {
 	for range seconds {
 		from = from.Add(time.Second)
@@ -17,18 +17,20 @@
 	return from
 }
 
-// A busy instance would spend without bound on rounds that stay short.
+// Rounds must become longer while a busy instance sends more than the target rate. With rounds of
+// constant length its control traffic would have no bound.
 func TestRoundsGrowWhileMoreIsSpentThanTheAim(t *testing.T) {
 	var b Budget
 	now := time.Unix(1_764_000_000, 0)
 	require.Equal(t, 250*time.Millisecond, b.Round(now, 250*time.Millisecond, 2*time.Second))
 	now = spend(&b, now, 2*Rate, 60)
-	require.Equal(t, 2*time.Second, b.Round(now, 250*time.Millisecond, 2*time.Second), "no longer than the longest")
+	require.Equal(t, 2*time.Second, b.Round(now, 250*time.Millisecond, 2*time.Second), "limited to the maximum")
 	now = spend(&b, now, Rate/4, 60)
-	require.Equal(t, 250*time.Millisecond, b.Round(now, 250*time.Millisecond, 2*time.Second), "short again once there are bytes")
+	require.Equal(t, 250*time.Millisecond, b.Round(now, 250*time.Millisecond, 2*time.Second), "short again once the rate has dropped")
 }
 
-// Loads that take more than their part are left out by steps, and are back once it is free.
+// Loads that exceed their part of the budget must be left out in steps, and be sent again once the
+// token bucket has room.
 func TestLoadsAreLeftOutByStepsOnceTheirPartIsSpent(t *testing.T) {
 	var b Budget
 	now := time.Unix(1_764_000_000, 0)
--- a/internal/core/fakestore_test.go
+++ b/internal/core/fakestore_test.go
@@ -7,35 +7,38 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
+// fakeValue is a stored value, its version and the watches that wait for its next change.
 type fakeValue struct {
 	value   []byte
 	version uint64
 	waiters []func()
 }
 
-// fakeStore is a linearizable store whose answers may come late, or not at all
-// after the write took effect, or whose writes may come later than the answer.
+// fakeStore is a linearizable store with injected faults: replies may be delayed, or lost after the
+// write took effect, and writes may take effect after the reply.
 type fakeStore struct {
 	fleet *fleet
 	keys  map[string]*fakeValue
 	down  bool
 	delay time.Duration
-	// entries are the changes of the backend servers' entries, numbered from 1 on.
+	// entries holds the changes of the backend servers' entries, numbered from 1.
 	entries []core.BackendEntry
-	// watchers are told of each change of the entries.
+	// watchers are called on each change of the entries.
 	watchers []func()
-	// loseAnswer and loseWrite are the shares of writes whose answer is lost after,
-	// or before, they took effect; lateWrite those that take effect only later.
+	// loseAnswer is the share of writes that take effect but whose reply is lost, loseWrite the
+	// share that never take effect, and lateWrite the share that take effect after the reply.
 	loseAnswer, loseWrite, lateWrite float64
-	// registrations are the instances' own entries, by name.
+	// registrations holds the instances' own entries by name.
 	registrations map[string]registration
 	lastLease     uint64
 }
 
+// latency returns the time until a reply: 1 to 5 ms plus the injected delay.
 func (s *fakeStore) latency() time.Duration {
 	return s.delay + time.Millisecond + time.Duration(s.fleet.random.Int64N(int64(4*time.Millisecond)))
 }
 
+// value returns the stored value of a key and creates it if necessary.
 func (s *fakeStore) value(key string) *fakeValue {
 	v := s.keys[key]
 	if v == nil {
@@ -45,6 +48,7 @@
 	return v
 }
 
+// away reports whether an instance cannot reach the store.
 func (s *fakeStore) away(m *member) bool { return s.down || s.fleet.cutOff(m) }
 
 func (s *fakeStore) get(m *member, e core.StoreGet) {
@@ -52,12 +56,12 @@
 		s.fleet.reply(m, storeTimeout, core.StoreReplied{Op: e.Op, Status: core.StoreFailed})
 		return
 	}
-	took := s.latency()
-	if took > storeTimeout {
+	delay := s.latency()
+	if delay > storeTimeout {
 		s.fleet.reply(m, storeTimeout, core.StoreReplied{Op: e.Op, Status: core.StoreUnknown})
 		return
 	}
-	s.fleet.after(took, func() {
+	s.fleet.after(delay, func() {
 		v := s.value(e.Key)
 		r := core.StoreReplied{Op: e.Op, Status: core.StoreOK, Version: v.version, Value: v.value}
 		if v.version == 0 {
@@ -67,6 +71,7 @@
 	})
 }
 
+// swap handles a compare-and-swap with the injected faults.
 func (s *fakeStore) swap(m *member, e core.StoreSwap) {
 	f := s.fleet
 	unknown := core.StoreReplied{Op: e.Op, Status: core.StoreUnknown}
@@ -74,21 +79,22 @@
 		f.reply(m, storeTimeout, unknown)
 		return
 	}
-	took := s.latency()
+	delay := s.latency()
 	switch p := f.random.Float64(); {
 	case p < s.loseWrite:
 		f.reply(m, storeTimeout, unknown)
 	case p < s.loseWrite+s.lateWrite:
 		f.reply(m, storeTimeout, unknown)
-		f.after(took+time.Duration(f.random.Int64N(int64(10*time.Second))), func() { s.write(e) })
-	case p < s.loseWrite+s.lateWrite+s.loseAnswer, took > storeTimeout:
-		f.after(took, func() { s.write(e) })
+		f.after(delay+time.Duration(f.random.Int64N(int64(10*time.Second))), func() { s.write(e) })
+	case p < s.loseWrite+s.lateWrite+s.loseAnswer, delay > storeTimeout:
+		f.after(delay, func() { s.write(e) })
 		f.reply(m, storeTimeout, unknown)
 	default:
-		f.after(took, func() { f.reply(m, time.Millisecond, s.write(e)) })
+		f.after(delay, func() { f.reply(m, time.Millisecond, s.write(e)) })
 	}
 }
 
+// write applies a compare-and-swap.
 func (s *fakeStore) write(e core.StoreSwap) core.StoreReplied {
 	v := s.value(e.Key)
 	if v.version != e.Version {
@@ -103,14 +109,16 @@
 	return core.StoreReplied{Op: e.Op, Status: core.StoreOK, Version: v.version}
 }
 
+// wake calls the waiters of a value.
 func (s *fakeStore) wake(v *fakeValue) {
 	waiters := v.waiters
 	v.waiters = nil
-	for _, w := range waiters {
-		w()
+	for _, waiter := range waiters {
+		waiter()
 	}
 }
 
+// watch replies once the value changes, or after 30 s without a change.
 func (s *fakeStore) watch(m *member, e core.StoreWatch) {
 	f := s.fleet
 	if s.away(m) {
@@ -119,7 +127,7 @@
 	}
 	v := s.value(e.Key)
 	done := false
-	answer := func(status core.StoreStatus) {
+	reply := func(status core.StoreStatus) {
 		if done {
 			return
 		}
@@ -133,9 +141,9 @@
 		f.reply(m, s.latency(), core.StoreReplied{Op: e.Op, Status: status, Version: v.version, Value: v.value})
 	}
 	if v.version != e.Version {
-		answer(core.StoreOK)
+		reply(core.StoreOK)
 		return
 	}
-	v.waiters = append(v.waiters, func() { answer(core.StoreOK) })
-	f.after(30*time.Second, func() { answer(core.StoreUnchanged) })
+	v.waiters = append(v.waiters, func() { reply(core.StoreOK) })
+	f.after(30*time.Second, func() { reply(core.StoreUnchanged) })
 }
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -12,8 +12,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// trouble is one fault that lasts for a while. It begins and ends what it does to
-// the fleet.
+// trouble is a temporary fault; begin injects it into a fleet and end removes it.
 type trouble struct {
 	name  string
 	begin func(f *fleet)
@@ -25,51 +24,52 @@
 func inZoneZero(m *member) bool { return m.zone == "zone-0" }
 
 var troubles = []trouble{
-	{"platform away",
+	{"platform down",
 		func(f *fleet) { f.store.down, f.listDown = true, true },
 		func(f *fleet) { f.store.down, f.listDown = false, false }},
 	{"store slow",
 		func(f *fleet) { f.store.delay = 700 * time.Millisecond },
 		func(f *fleet) { f.store.delay = 0 }},
-	{"answers lost",
+	{"store replies and writes lost or late",
 		func(f *fleet) { f.store.loseAnswer, f.store.loseWrite, f.store.lateWrite = 0.1, 0.1, 0.1 },
 		func(f *fleet) { f.store.loseAnswer, f.store.loseWrite, f.store.lateWrite = 0, 0, 0 }},
-	{"zone cut from the platform",
+	{"zone cut off from the platform",
 		func(f *fleet) { f.cutOff = inZoneZero },
 		func(f *fleet) { f.cutOff = nobody }},
-	{"zone cut from the others",
+	{"zone cut off from the other zones",
 		func(f *fleet) { f.cut = func(a, b *member) bool { return inZoneZero(a) != inZoneZero(b) } },
 		func(f *fleet) { f.cut = uncut }},
-	{"an instance frozen",
+	{"instance frozen",
 		func(f *fleet) { f.members[1].frozenTill = f.now.Add(9 * time.Minute) },
 		func(*fleet) {}},
-	{"an instance killed and replaced",
+	{"instance killed and restarted",
 		func(f *fleet) { f.members[2].dead = true },
 		func(f *fleet) { f.boot(f.members[2], "") }},
 }
 
-// outcome is what a scenario came to.
+// outcome is the result of a scenario.
 type outcome struct {
 	asked, ran, refused int
-	// early were told that they are duplicates of a claim that was being released,
-	// and blocked were so still when all was healed.
+	// early counts requests that were refused as duplicates of a claim that was about to be
+	// released; blocked counts keys for which that was still so after all faults had ended.
 	early, blocked int
 	tally
 }
 
-// strike lets two troubles last for some seconds, the second a little later, under a
-// request each second and a doubled one now and then, with edits before and after.
-func strike(t *testing.T, seed uint64, seconds int, a, b trouble) outcome {
+// strike runs a scenario with two faults that overlap for the given number of seconds; the second
+// fault begins and ends 30 s later. Each second a request goes to two random instances, and 5 s
+// later again to one if it has not run. The configuration is edited before and after the faults.
+func strike(t *testing.T, seed uint64, seconds int, first, second trouble) outcome {
 	t.Helper()
 	f, text := configFleet(t, seed, 6, 3)
 	ask := func(seconds int) {
 		for range seconds {
 			key := fmt.Sprintf("note-%d", len(f.requests))
-			var at [2]*member
-			for i := range at {
-				at[i] = f.members[f.random.IntN(len(f.members))]
+			var targets [2]*member
+			for i := range targets {
+				targets[i] = f.members[f.random.IntN(len(f.members))]
 			}
-			for _, m := range at {
+			for _, m := range targets {
 				if !m.dead {
 					f.ask(m, key)
 				}
@@ -80,26 +80,26 @@
 	}
 	f.put(2, "before", text)
 	ask(20)
-	a.begin(f)
+	first.begin(f)
 	ask(30)
-	b.begin(f)
+	second.begin(f)
 	ask(seconds)
-	a.end(f)
+	first.end(f)
 	ask(30)
-	b.end(f)
+	second.end(f)
 	f.put(3, "after", text)
 	ask(30)
 	f.run(5 * time.Minute)
 	count, _ := f.onGeneration(3)
-	require.Equal(t, len(f.members), count, "all on the last edit")
+	require.Equal(t, len(f.members), count, "all instances must have the last edit")
 	require.Zero(t, f.reverts)
-	o := f.account()
-	o.blocked = f.blocked()
-	return o
+	result := f.account()
+	result.blocked = f.blocked()
+	return result
 }
 
-// blocked asks again, once all is healed, for each key that never ran, and counts
-// those that still do not.
+// blocked repeats, after all faults have ended, the requests whose keys never ran, and returns the
+// number of keys that still do not run.
 func (f *fleet) blocked() int {
 	keys := make(map[string]bool)
 	for _, s := range f.requests {
@@ -126,7 +126,7 @@
 	return blocked
 }
 
-// askAgain is the caller who was told that the request did not run.
+// askAgain repeats a request that did not run.
 func (f *fleet) askAgain(key string) {
 	m := f.members[f.random.IntN(len(f.members))]
 	if len(f.runs[key]) == 0 && !m.dead {
@@ -134,11 +134,12 @@
 	}
 }
 
-// account sums a scenario up. A request is early if it is told that it is a duplicate
-// although none with its key ran, was still undecided when it came, or was at an
-// instance that was killed: its claim is in the store, and the release on its way.
+// account returns the result of a scenario. A request counts as early if it was refused as a
+// duplicate although no request with its key ran, was still undecided when it arrived, or was at
+// an instance that was killed. Such a request met a claim that is still in the store while the
+// release of the claim is in progress.
 func (f *fleet) account() outcome {
-	o := outcome{asked: len(f.requests), tally: f.tally(claimWindow)}
+	result := outcome{asked: len(f.requests), tally: f.tally(claimWindow)}
 	killed := make(map[string]bool)
 	for _, s := range f.requests {
 		if s.by.incarnation != s.incarnation {
@@ -148,17 +149,17 @@
 	for _, s := range f.requests {
 		switch {
 		case s.runs > 0:
-			o.ran++
+			result.ran++
 		case s.outcome == reason.NotRun:
-			o.refused++
+			result.refused++
 		case s.outcome == reason.Duplicate && len(f.runs[s.key]) == 0 && !killed[s.key] && f.alone(s):
-			o.early++
+			result.early++
 		}
 	}
-	return o
+	return result
 }
 
-// alone tells whether all others with the key of a request had ended when it came.
+// alone reports whether all other requests with the same key had ended when a request arrived.
 func (f *fleet) alone(s *sent) bool {
 	for _, other := range f.requests {
 		if other != s && other.key == s.key && !other.at.After(s.at) && other.ended.After(s.at) {
@@ -168,36 +169,37 @@
 	return true
 }
 
-// Two faults at once are where promises break that hold under each: a note is lost,
-// runs twice, is refused as not run though it ran, or as the duplicate of none.
+// Guarantees that hold under each single fault may break under two at once: a request is lost,
+// runs twice, is refused as not run although it ran, or is refused as a duplicate although no
+// other request has its key.
 func TestAnyTwoFaultsTogether(t *testing.T) {
-	for i, a := range troubles {
-		for _, b := range troubles[i:] {
-			t.Run(a.name+" and "+b.name, func(t *testing.T) {
+	for i, first := range troubles {
+		for _, second := range troubles[i:] {
+			t.Run(first.name+" and "+second.name, func(t *testing.T) {
 				t.Parallel()
-				strike(t, uint64(20+i), 600, a, b).require(t)
+				strike(t, uint64(20+i), 600, first, second).require(t)
 			})
 		}
 	}
 }
 
-// The store answers late for an hour, as after a bad night of the platform's: notes
-// wait longer for their claims, and none may be lost, doubled or falsely refused,
-// also when the owner of some ranges freezes in the middle.
+// The store replies late for an hour, as after an outage of the platform. Requests wait longer for
+// their claims, but none may be lost, run twice or be falsely refused, also if the owner of some
+// key ranges freezes meanwhile.
 func TestStoreSlowForAnHour(t *testing.T) {
 	t.Parallel()
-	o := strike(t, 40, 3600, troubles[1], troubles[5])
-	o.require(t)
-	require.Greater(t, o.ran, 3000, "notes go on, slowly")
+	result := strike(t, 40, 3600, troubles[1], troubles[5])
+	result.require(t)
+	require.Greater(t, result.ran, 3000, "requests must still run, but slowly")
 }
 
-// require prints the counts and requires those that must be zero to be so.
+// require logs the counts and checks that there are no violations and no blocked keys.
 func (o outcome) require(t *testing.T) {
 	t.Helper()
-	t.Logf("asked %d, ran %d, refused %d; lost %d, doubled %d, untrue %d, falsely refused for good %d, for a while %d",
+	t.Logf("asked %d, ran %d, refused %d; lost %d, run twice %d, falsely refused as not run %d, falsely refused as duplicates permanently %d, temporarily %d",
 		o.asked, o.ran, o.refused, o.lost, o.doubled, o.untrue, o.blocked, o.early)
 	require.Equal(t, tally{}, o.tally)
 	require.Zero(t, o.blocked)
-	// 80 come before and after the faults; back-off may cost up to 15 s of them.
+	// 80 requests arrive before and after the faults; backoff may delay them by up to 15 s.
 	require.GreaterOrEqual(t, o.ran, 65)
 }
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// fleet drives several nodes in virtual time against fakes of the platform, the
-// backend servers and the links between instances.
+// fleet runs several nodes in virtual time against fakes of the platform, the backend servers and
+// the links between instances.
 type fleet struct {
 	now     time.Time
 	random  *rand.Rand
@@ -23,29 +23,29 @@
 	members []*member
 	store   fakeStore
 	list    []membership.Instance
-	// listDown cuts everyone from the instance list.
+	// listDown makes all reads of the instance list fail.
 	listDown bool
-	// cut tells whether two instances are cut off from each other.
+	// cut reports whether two instances cannot connect to each other.
 	cut func(a, b *member) bool
-	// cutOff tells whether an instance is cut off from the platform.
+	// cutOff reports whether an instance cannot reach the platform.
 	cutOff func(m *member) bool
-	// noAnswer is the share of attempts that end in no connection.
+	// noAnswer is the share of attempts whose connection fails.
 	noAnswer float64
 	requests map[core.RequestID]*sent
 	runs     map[string][]*sent
 	counters map[string]int
 	calls    map[string]int
-	// registers lets instances keep entries of their own, by which the others find
-	// them; without it f.list names them all from the start.
+	// registers makes instances register their own entries, through which the others discover
+	// them. If it is unset, f.list contains all instances from the start.
 	registers bool
-	// serve takes the place of attempt, if it is set.
+	// serve replaces attempt if it is set.
 	serve func(m *member, e core.SendAttempt)
-	// noPolls has the servers' answers tell their loads.
+	// noPolls disables polls, so that backend servers report their loads in responses only.
 	noPolls bool
-	// price is what the calls on the store cost, in calls: renewals and stale reads cost
-	// a tenth.
+	// price is the total cost of the calls to the store, in units of one call. A renewal or a
+	// stale read costs a tenth.
 	price float64
-	// reverts counts instances that took an older generation than they had.
+	// reverts counts the cases in which an instance replaced its generation by an older one.
 	reverts int
 }
 
@@ -58,22 +58,23 @@
 	frozenTill  time.Time
 	peers       map[string]bool
 	wanted      []core.PeerAddress
-	// watches counts its watches of the configuration.
+	// watches counts the instance's watches of the configuration.
 	watches int
-	// generation and edit are in force, since takenAt.
+	// generation and edit identify the configuration in force since takenAt.
 	generation uint64
 	edit       string
 	takenAt    time.Time
 }
 
-// sent is one request of a caller.
+// sent is one request of a caller and its result.
 type sent struct {
 	id          core.RequestID
 	key         string
 	by          *member
 	incarnation uint64
-	// at is when the instance took it up, which is later than the caller sent it if
-	// the instance was frozen: the window of a claim begins there.
+	// at is the time at which the instance handled the request, which is when the window of
+	// its claim begins. If the instance was frozen, this is later than the time at which the
+	// caller sent it.
 	at       time.Time
 	runs     int
 	ranAt    time.Time
@@ -84,27 +85,30 @@
 	ended    time.Time
 }
 
+// item is an action that is due at a virtual time.
 type item struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
+// timeline is a heap of items, ordered by time and then by seq.
 type timeline []item
 
-func (s timeline) Len() int { return len(s) }
-func (s timeline) Less(i, j int) bool {
-	return s[i].at.Before(s[j].at) || s[i].at.Equal(s[j].at) && s[i].seq < s[j].seq
+func (t timeline) Len() int { return len(t) }
+func (t timeline) Less(i, j int) bool {
+	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].seq < t[j].seq
 }
-func (s timeline) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *timeline) Push(x any)   { *s = append(*s, x.(item)) }
-func (s *timeline) Pop() any {
-	last := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
+func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timeline) Push(x any)   { *t = append(*t, x.(item)) }
+func (t *timeline) Pop() any {
+	last := (*t)[len(*t)-1]
+	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-// fleetText has one plain service with fixed backend servers and one customer.
+// fleetText returns a configuration with one plain service that has static backend servers, and one
+// customer.
 func fleetText(window time.Duration) string {
 	return fmt.Sprintf(`{
   "services": [{"name": "notes", "kind": "plain", "capacity": 1000, "deadline": "8s", "backend_servers": [
@@ -115,7 +119,7 @@
 }`, window)
 }
 
-// emptyFleet has n instances in the given number of zones, none of which runs.
+// emptyFleet returns a fleet of n instances in the given number of zones; none of them is running.
 func emptyFleet(seed uint64, n, zones int) *fleet {
 	f := &fleet{
 		now: epoch, random: rand.New(rand.NewPCG(seed, 1)),
@@ -132,14 +136,14 @@
 	return f
 }
 
-// newFleet starts n instances in the given number of zones, with a text in force.
+// newFleet starts n instances in the given number of zones with a configuration in force.
 func newFleet(seed uint64, n, zones int, text string) *fleet {
 	f := emptyFleet(seed, n, zones)
 	f.start(text)
 	return f
 }
 
-// start lists the instances and boots them, with a text in force.
+// start adds all instances to the list and boots them with a configuration in force.
 func (f *fleet) start(text string) {
 	for _, m := range f.members {
 		f.list = append(f.list, membership.Instance{
@@ -151,7 +155,7 @@
 	}
 }
 
-// boot starts, or starts again, an instance.
+// boot starts or restarts an instance.
 func (f *fleet) boot(m *member, text string) {
 	m.incarnation++
 	m.dead, m.peers, m.wanted = false, make(map[string]bool), nil
@@ -189,12 +193,13 @@
 	f.after(time.Second, dial)
 }
 
+// after schedules an action for later.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.due, item{at: f.now.Add(d), seq: f.seq, do: do})
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d and carries out the actions that become due.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.due) > 0 && !f.due[0].at.After(end) {
@@ -205,7 +210,8 @@
 	f.now = end
 }
 
-// deliver hands an event to an instance; while it is frozen the event waits.
+// deliver passes an event to an instance. While the instance is frozen, the event is delayed and
+// ticks are dropped.
 func (f *fleet) deliver(m *member, event core.Event) {
 	incarnation := m.incarnation
 	if wait := m.frozenTill.Sub(f.now); wait > 0 {
@@ -224,6 +230,7 @@
 	}
 }
 
+// handle passes an event to a node at once and carries out the resulting effects.
 func (f *fleet) handle(m *member, event core.Event) {
 	if e, ok := event.(core.RequestArrived); ok {
 		f.requests[e.Request].at = f.now
@@ -233,7 +240,7 @@
 	}
 }
 
-// reply hands the end of a call back to the incarnation that made it.
+// reply delivers an event after d, unless the instance has restarted by then.
 func (f *fleet) reply(m *member, d time.Duration, event core.Event) {
 	incarnation := m.incarnation
 	f.after(d, func() {
@@ -243,6 +250,7 @@
 	})
 }
 
+// carryOut carries out one effect of a node.
 func (f *fleet) carryOut(m *member, effect core.Effect) {
 	f.callStore(m, effect)
 	switch e := effect.(type) {
@@ -270,7 +278,7 @@
 	}
 }
 
-// callStore makes a call on the store, if the effect is one.
+// callStore carries out the effect if it is a call to the store.
 func (f *fleet) callStore(m *member, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.StoreGet:
@@ -307,7 +315,7 @@
 	}
 }
 
-// attempt runs a request at a backend server, or fails to reach one.
+// attempt runs a request at a backend server or fails to connect to it.
 func (f *fleet) attempt(m *member, e core.SendAttempt) {
 	s := f.requests[e.Request]
 	if f.random.Float64() < f.noAnswer {
@@ -326,6 +334,7 @@
 	})
 }
 
+// member returns the instance with a name, or nil.
 func (f *fleet) member(name string) *member {
 	for _, m := range f.members {
 		if m.name == name {
@@ -335,6 +344,7 @@
 	return nil
 }
 
+// send delivers a peer message if the two instances are linked.
 func (f *fleet) send(m *member, e core.SendPeer) {
 	to := f.member(e.To)
 	if to == nil || f.cut(m, to) || !m.peers[to.name] {
@@ -347,7 +357,7 @@
 	f.reply(to, time.Millisecond, core.PeerReceived{From: m.name, Message: e.Message})
 }
 
-// connect makes the links that an instance wants and can have.
+// connect establishes the links that an instance wants and that are possible.
 func (f *fleet) connect(m *member) {
 	for _, p := range m.wanted {
 		to := f.member(p.Name)
@@ -370,33 +380,35 @@
 	return s
 }
 
-// tally counts what must not happen: a request that ran twice, one refused as not
-// run that did run, and one that ended in nothing though its instance lives.
+// tally counts violations of guarantees. doubled counts requests that ran twice, untrue counts
+// requests that ran although they were refused as not run, and lost counts requests without a
+// result although their instance is running.
 type tally struct{ lost, doubled, untrue int }
 
+// tally counts the violations among all requests so far, for a claim window.
 func (f *fleet) tally(window time.Duration) tally {
-	var c tally
+	var count tally
 	for _, runs := range f.runs {
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if a == b || b.at.Sub(a.at) < window {
-					c.doubled++
+					count.doubled++
 				}
 			}
 		}
 	}
 	for _, s := range f.requests {
 		if s.runs > 0 && s.ranAt.Sub(s.at) >= window {
-			c.doubled++ // its claim was over, so that the key was free for another
+			count.doubled++ // the claim had expired, so another request with the key could run
 		}
 		if s.outcome == reason.NotRun && s.runs > 0 {
-			c.untrue++
+			count.untrue++
 		}
 		if s.outcome == "" && !s.answered && !s.by.dead && s.by.incarnation == s.incarnation {
-			c.lost++
+			count.lost++
 		}
 	}
-	return c
+	return count
 }
 
 const storeTimeout = 2 * time.Second
--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -1,9 +1,9 @@
-// Package health tells the backend servers whose answers fail more often than those
-// of the rest of their service.
+// Package health detects outliers: backend servers whose responses fail more often than those of
+// the other servers of their service.
 //
-// Health checks are not asked: they cost what a request does, pass at servers that
-// fail every other request, and fail at servers that work. An instance sees few
-// answers of each server, so the peers' counts are added to its own.
+// It does not use active health checks. They cost as much as a request, pass at servers that fail
+// every other request, and fail at servers that work. An instance gets few responses from each
+// server, so the peers' counts are added to its own.
 package health
 
 import (
@@ -12,26 +12,27 @@
 )
 
 const (
-	// bucket and buckets make up the window over which answers are counted: long enough
-	// for a handful of answers of each server over the fleet, short enough that a server
-	// which recovered is soon judged by what it does now.
+	// bucket is the length and buckets the number of the intervals that form the sliding
+	// window. The window is long enough for a handful of responses from each server over the
+	// whole fleet, and short enough that a server that has recovered is soon compared by recent
+	// responses only.
 	bucket  = 500 * time.Millisecond
 	buckets = 8
-	// leastFailures is how many failures in the window make a server suspect at all.
-	// Two happen to any server by chance on a busy day.
+	// leastFailures is the minimum number of failures in the window for an outlier. Two failures
+	// occur at any server by chance on a busy day.
 	leastFailures = 3
-	// leastShare is the least share of failed answers of a suspect, and times how often
-	// it must exceed that of the others, which fail some requests on their own account.
+	// leastShare is the minimum share of failed responses of an outlier. times is the factor by
+	// which it must exceed the share of the other servers, at which some requests also fail.
 	leastShare = 0.2
 	times      = 3
-	// firstHold is how long a suspect is left alone; it doubles with each further
-	// suspicion up to lastHold, and begins anew after forgiveAfter without one.
+	// firstHold is the time for which a server is first marked as an outlier. It doubles with
+	// each further detection, up to lastHold, and is reset after forgiveAfter without one.
 	firstHold    = 2 * time.Second
 	lastHold     = 16 * time.Second
 	forgiveAfter = 20 * time.Second
 )
 
-// Count is a number of answers and of failures among them.
+// Count is a number of responses and the number of failures among them.
 type Count struct {
 	Answers  int
 	Failures int
@@ -42,17 +43,21 @@
 	c.Failures += other.Failures
 }
 
-// Tracker counts the answers of backend servers. Names are unique in the fleet.
+// Tracker counts the responses of backend servers. Names of backend servers are unique in the
+// fleet.
 type Tracker struct {
 	servers map[string]*server
 }
 
+// server holds the counts of one backend server.
 type server struct {
-	// window holds the counts by bucket, the current one at slot.
+	// window holds the counts per bucket as a ring; the current bucket is at slot and began at
+	// since.
 	window [buckets]Count
 	slot   int
 	since  time.Time
-	// until is how long a suspect is left alone, and hold how long that was.
+	// until is the end of the period for which the server counts as an outlier, and hold the
+	// length of the last such period.
 	until time.Time
 	hold  time.Duration
 }
@@ -60,7 +65,7 @@
 // New returns an empty tracker.
 func New() *Tracker { return &Tracker{servers: make(map[string]*server)} }
 
-// Add counts answers of a backend server.
+// Add counts responses of a backend server.
 func (t *Tracker) Add(name string, c Count, now time.Time) {
 	s := t.servers[name]
 	if s == nil {
@@ -71,10 +76,10 @@
 	s.window[s.slot].add(c)
 }
 
-// turn moves the window on to now.
+// turn advances the window to now.
 func (s *server) turn(now time.Time) {
-	for moved := 0; now.Sub(s.since) >= bucket; moved++ {
-		if moved == buckets {
+	for advanced := 0; now.Sub(s.since) >= bucket; advanced++ {
+		if advanced == buckets {
 			s.since = now
 			return
 		}
@@ -84,6 +89,7 @@
 	}
 }
 
+// sum returns the counts over the whole window.
 func (s *server) sum(now time.Time) Count {
 	s.turn(now)
 	var sum Count
@@ -93,15 +99,15 @@
 	return sum
 }
 
-// Suspect tells whether a backend server is to be left alone for now.
+// Suspect reports whether a backend server currently counts as an outlier.
 func (t *Tracker) Suspect(name string, now time.Time) bool {
 	s := t.servers[name]
 	return s != nil && now.Before(s.until)
 }
 
-// Judge compares the servers of one service with each other and returns those that
-// have become suspect, sorted. Where all fail alike, none is worse to send to than
-// the others, and none is suspect.
+// Judge compares the servers of one service with each other, marks new outliers, and returns
+// them, sorted. If all servers fail equally often, none is a worse choice than the others, and
+// none is an outlier.
 func (t *Tracker) Judge(names []string, now time.Time) []string {
 	var all Count
 	for _, name := range names {
@@ -109,20 +115,20 @@
 			all.add(s.sum(now))
 		}
 	}
-	var found []string
+	var outliers []string
 	for _, name := range names {
 		s := t.servers[name]
 		if s == nil || now.Before(s.until) || !worse(s.sum(now), all) {
 			continue
 		}
 		s.suspect(now)
-		found = append(found, name)
+		outliers = append(outliers, name)
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(outliers)
+	return outliers
 }
 
-// worse tells whether a server's answers fail far more often than the others'.
+// worse reports whether a server's responses fail far more often than those of the others.
 func worse(own, all Count) bool {
 	if own.Failures < leastFailures {
 		return false
@@ -135,17 +141,18 @@
 	return share >= leastShare && share > times*float64(others.Failures)/float64(others.Answers)
 }
 
+// suspect marks the server as an outlier and doubles the time for which it stays marked.
 func (s *server) suspect(now time.Time) {
 	if now.Sub(s.until) > forgiveAfter {
 		s.hold = 0
 	}
 	s.hold = min(max(firstHold, 2*s.hold), lastHold)
 	s.until = now.Add(s.hold)
-	// What it did until now is judged already.
+	// The responses up to now have led to this detection and must not lead to another.
 	s.window = [buckets]Count{}
 }
 
-// Keep drops what is known of servers that keep does not want.
+// Keep drops the servers for which keep returns false.
 func (t *Tracker) Keep(keep func(name string) bool) {
 	for name := range t.servers {
 		if !keep(name) {
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -20,19 +20,19 @@
 	return names
 }
 
-// One engine of twelve fails nearly half of its requests while its health check
-// passes. It is left alone after its third failure, and again for longer if it still
-// fails when it is tried; the others go on.
+// One engine of twelve fails half of its requests while its health check passes. It must be marked
+// as an outlier after its third failure, and again for longer if it still fails when the mark has
+// expired. The other engines stay unmarked.
 func TestAServerThatFailsMoreThanTheOthers(t *testing.T) {
 	tracker, names, now := health.New(), pool(12), start
-	round := func(sick bool) []string {
+	round := func(failing bool) []string {
 		now = now.Add(time.Second)
 		for i, name := range names {
 			if tracker.Suspect(name, now) {
 				continue
 			}
 			c := health.Count{Answers: 6}
-			if i == 3 && sick {
+			if i == 3 && failing {
 				c.Failures = 3
 			}
 			tracker.Add(name, c, now)
@@ -42,17 +42,17 @@
 	require.Equal(t, names[3:4], round(true))
 	require.True(t, tracker.Suspect(names[3], now.Add(1900*time.Millisecond)))
 	require.Empty(t, round(true))
-	require.Equal(t, names[3:4], round(true), "tried again, and failed again")
-	require.True(t, tracker.Suspect(names[3], now.Add(3900*time.Millisecond)), "left alone for longer")
+	require.Equal(t, names[3:4], round(true), "failed again after the first mark expired")
+	require.True(t, tracker.Suspect(names[3], now.Add(3900*time.Millisecond)), "marked for longer")
 	for range 6 {
 		require.Empty(t, round(false))
 	}
 	require.False(t, tracker.Suspect(names[3], now))
 }
 
-// Every server fails the same share of requests, as on a day on which all are sick,
-// or where callers ask for what fails anywhere. To leave any of them alone would only
-// load the others.
+// All servers fail the same share of requests, for example during an outage of a dependency or
+// because of requests that fail at any server. Avoiding some of the servers would only add load
+// to the others.
 func TestWhereAllFailAlikeNoneIsSuspect(t *testing.T) {
 	tracker, names := health.New(), pool(12)
 	for second := range 20 {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Failures of long ago, few failures, and those of a service's only server say
-// nothing.
+// Failures outside the window, too few failures, and failures of a service's only server must not
+// mark an outlier.
 func TestWhatSaysNothing(t *testing.T) {
 	tracker, names := health.New(), pool(3)
 	tracker.Add(names[0], health.Count{Answers: 2, Failures: 2}, start)
--- a/internal/core/load/load.go
+++ b/internal/core/load/load.go
@@ -1,28 +1,29 @@
-// Package load estimates how many requests each backend server works on, from
-// this instance's own requests, the peers' digests and the servers' late reports.
+// Package load estimates how many requests each backend server has in progress, from this
+// instance's own requests, the peers' digests and the servers' delayed reports.
 //
-// What an estimate rests on depends on how much of the fleet is heard, and on how long
-// the server's requests take:
+// The basis of an estimate depends on how much of the fleet sends digests to this instance, and
+// on how long the server's requests take:
 //
-//	Counts    this instance's requests in progress, exact; each peer's own count as of
-//	          its last digest, less once it is silent; and unseen, what the server's last
-//	          report counts beyond the most that these came to before it
-//	Reports   the same, but the report is set against what is known at its moment, and
-//	          unseen, which may be negative, stays until the next report
-//	Averages  the mean of the server's reports of the last second, and without any of late
-//	          what own and peers count
+//	Counts    the sum of this instance's requests in progress, which is exact; each peer's
+//	          count from its last digest, reduced once the peer is silent; and unseen, the
+//	          excess of the server's last report over the recent peak of these counts
+//	Reports   the same sum, but unseen is the difference between the report and the counts
+//	          at the time the report arrives; it may be negative and stays until the next
+//	          report
+//	Averages  the mean of the server's reports of the last second or, without recent
+//	          reports, the sum of the own and the peers' counts
 //
-// Counts are for a fleet whose instances all hear each other: a report is late by an
-// unknown time, so only what own and peers cannot explain is unseen, and that is nearly
-// always zero. An instance cut off from its peers falls back on the last report and what
-// it sent since.
+// Counts suits a fleet in which all instances exchange digests. A report is delayed by an
+// unknown time, so only the part that the counts cannot explain is unseen, which is nearly
+// always zero. An instance that is cut off from its peers falls back on the last report plus
+// the requests it has sent since.
 //
-// Reports are for engines where the peers heard are a part of the fleet, or heard late:
-// the peak would hide what they do not tell.
+// Reports suits engines whose load comes partly from instances that send no digests to this
+// one, or late ones: the peak of the counts would hide that load.
 //
-// Averages are for servers whose requests are over before any count of them arrives. By
-// the last report, or the last counts, all instances would choose the same idle server
-// and leave the same busy one, and both would long have changed places.
+// Averages suits servers whose requests end before any count of them arrives. With the last
+// report or the last counts, all instances would choose the same idle server and avoid the same
+// busy one although both states are outdated.
 package load
 
 import (
@@ -34,51 +35,51 @@
 )
 
 const (
-	// reportWindow is the time before a report in which its load may have been so.
-	// It covers a lag of 2 s and a digest's interval.
+	// reportWindow is the maximum age of the load in a report when the report arrives. It covers
+	// a lag of 2 s and the interval between digests.
 	reportWindow = 3 * time.Second
-	// reportLife is how long a report counts without a newer one.
+	// reportLife is the time for which a report counts if no newer one arrives.
 	reportLife = 10 * time.Second
-	// peerSilent is when a peer that sends no digests begins to count for less.
+	// peerSilent is the time without digests after which a peer's counts begin to fade.
 	peerSilent = 3 * time.Second
-	// peerFading is how long it takes from there to nothing: the requests of an
-	// instance that died end about so soon.
+	// peerFading is the time in which the counts of a silent peer fade to zero. The requests of
+	// a crashed instance end within about this time.
 	peerFading = 12 * time.Second
-	// fadeSteps divides peerFading, so that silence costs work only at each step.
-	// A power of two keeps all sums exact.
+	// fadeSteps is the number of steps in which counts fade, so that a silent peer costs work
+	// only at each step. A power of two keeps all sums exact.
 	fadeSteps = 4
-	// clockStep is the silence after which a clock that went back is believed.
+	// clockStep is the time without accepted messages after which a sender's clock that was set
+	// back is accepted.
 	clockStep = 10 * time.Second
-	// sweepInterval is how often reports and peers are aged.
+	// sweepInterval is the interval at which reports and peers are aged.
 	sweepInterval = 500 * time.Millisecond
-	// averageSpan is the time over which reports are averaged, and in which an average
-	// fades without them.
+	// averageSpan is the time constant of the moving average of reports and of its decay without
+	// reports.
 	averageSpan = time.Second
-	// leastAverage is what counts as none.
+	// leastAverage is the smallest average that does not count as zero.
 	leastAverage = 0.05
 )
 
-// Basis says what the estimate of a backend server's load rests on.
+// Basis selects how the load of a backend server is estimated.
 type Basis int
 
-// The bases.
+// The bases; see the package comment.
 const (
-	// Counts are own and peers' counts, and what a report has beyond their peak.
+	// Counts uses the own and peers' counts, plus the excess of the last report over their peak.
 	Counts Basis = iota
-	// Reports are the last report and what the counts changed since.
+	// Reports uses the last report plus the changes of the counts since.
 	Reports
-	// Averages are the mean of the reports of late.
+	// Averages uses the mean of the recent reports.
 	Averages
 )
 
-// Count is the number of one instance's requests at one backend server.
+// Count is the number of requests of one instance at one backend server.
 type Count struct {
 	Backend  string `json:"backend"`
 	InFlight int    `json:"in_flight"`
 }
 
-// Tracker holds what is known of the backend servers' loads. Names of backend
-// servers are unique in the fleet.
+// Tracker tracks the loads of backend servers. Names of backend servers are unique in the fleet.
 type Tracker struct {
 	backends  map[string]*backend
 	peers     map[string]*peer
@@ -86,24 +87,27 @@
 	changed   []string
 }
 
+// backend holds the counts and reports of one backend server.
 type backend struct {
 	own    int
 	peers  float64
 	unseen float64
 	peak   peak
 	report membership.Report
-	// basis is that of the last report, and average the mean of late.
+	// basis is the basis given with the last report, and average the moving average of reports.
 	basis   Basis
 	average float64
-	// heard is when the report came; zero when there is none.
+	// heard is the time at which the report arrived; zero if there is none.
 	heard time.Time
 }
 
+// peer holds the counts received from one peer.
 type peer struct {
-	// at is the peer's clock in its last digest, heard is ours.
+	// at is the time of the last digest by the peer's clock, heard its arrival by our clock.
 	at    time.Time
 	heard time.Time
-	// weight is what its counts are worth: 1 while it is heard, 0 once forgotten.
+	// weight is the factor applied to the peer's counts: 1 while digests arrive, 0 once they have
+	// faded.
 	weight float64
 	loads  map[string]int
 }
@@ -113,6 +117,7 @@
 	return &Tracker{backends: make(map[string]*backend), peers: make(map[string]*peer)}
 }
 
+// backend returns the record of a backend server and creates it if necessary.
 func (t *Tracker) backend(name string) *backend {
 	b := t.backends[name]
 	if b == nil {
@@ -122,18 +127,20 @@
 	return b
 }
 
+// known returns the sum of the own and the peers' counts.
 func (b *backend) known() float64 { return float64(b.own) + b.peers }
 
+// idle reports whether the record holds neither counts nor a recent report.
 func (b *backend) idle() bool { return b.own == 0 && b.peers == 0 && b.heard.IsZero() }
 
-// Sent counts one request of this instance to a backend server.
+// Sent counts a request that this instance sends to a backend server.
 func (t *Tracker) Sent(name string, now time.Time) {
 	b := t.backend(name)
 	b.own++
 	b.peak.add(b.known(), now)
 }
 
-// Ended counts the end of one request of this instance.
+// Ended counts the end of a request of this instance.
 func (t *Tracker) Ended(name string, now time.Time) {
 	b := t.backend(name)
 	b.peak.add(b.known(), now)
@@ -148,7 +155,8 @@
 	return 0
 }
 
-// Heard returns when a backend server last told its load, if it did of late.
+// Heard returns the time at which a backend server's last report arrived, and whether there is a
+// recent one.
 func (t *Tracker) Heard(name string) (time.Time, bool) {
 	b := t.backends[name]
 	if b == nil || b.heard.IsZero() {
@@ -157,7 +165,7 @@
 	return b.heard, true
 }
 
-// EachOwn calls f for every backend server with own requests, in no order.
+// EachOwn calls f for every backend server with requests of this instance, in no particular order.
 func (t *Tracker) EachOwn(f func(backend string, inFlight int)) {
 	for name, b := range t.backends {
 		if b.own > 0 {
@@ -166,18 +174,19 @@
 	}
 }
 
-// Parts are what an estimate is put together from.
+// Parts holds the components of an estimate.
 type Parts struct {
-	// Own are this instance's requests, and Peers those that its peers tell of.
+	// Own is the number of this instance's requests, and Peers the weighted count of the peers'
+	// requests.
 	Own   int     `json:"own,omitempty"`
 	Peers float64 `json:"peers,omitempty"`
-	// Unseen is what the backend server's last report adds to these, or takes off.
+	// Unseen is the correction by the backend server's last report; it may be negative.
 	Unseen float64 `json:"unseen,omitempty"`
-	// Average is the mean of its reports of late, which counts for Averages alone.
+	// Average is the mean of the server's recent reports; set only with the basis Averages.
 	Average float64 `json:"average,omitempty"`
 }
 
-// Parts returns what the estimate of a backend server's load is put together from.
+// Parts returns the components of the estimate of a backend server's load.
 func (t *Tracker) Parts(name string) Parts {
 	b := t.backends[name]
 	switch {
@@ -190,7 +199,7 @@
 	}
 }
 
-// Estimate returns the requests in progress at a backend server.
+// Estimate returns the estimated number of requests in progress at a backend server.
 func (t *Tracker) Estimate(name string) float64 {
 	b := t.backends[name]
 	if b == nil {
@@ -202,13 +211,12 @@
 	return max(0, b.known()+b.unseen)
 }
 
-// Digest takes a peer's counts: all of them if full, else those that changed. It
-// returns the backend servers whose estimate changed; the slice is valid until the
-// tracker's next call.
+// Digest applies the counts in a peer's digest: all of them if full is set, else those that
+// changed. It returns the backend servers whose estimate changed; the slice is valid until the
+// next call of the tracker.
 //
-// Digests may come late, twice or out of order. One that is older by the peer's own
-// clock is dropped, unless the peer was silent for so long that its
-// clock must have been set back.
+// Digests may arrive late, twice or out of order. A digest that is older by the peer's own clock
+// is dropped, unless the peer was silent for clockStep, so that its clock must have been set back.
 func (t *Tracker) Digest(name string, at time.Time, full bool, counts []Count, now time.Time) []string {
 	t.changed = t.changed[:0]
 	p := t.peers[name]
@@ -231,6 +239,7 @@
 	return t.sorted()
 }
 
+// setLoad sets a peer's count at one backend server.
 func (t *Tracker) setLoad(p *peer, c Count, now time.Time) {
 	inFlight := max(0, c.InFlight)
 	old := p.loads[c.Backend]
@@ -242,8 +251,8 @@
 	b.peers += float64(inFlight-old) * p.weight
 	b.peak.add(b.known(), now)
 	if inFlight > old && b.basis == Counts {
-		// A report that came before this digest counted these requests as unseen. Both
-		// would count them until the next report, for seconds at a quiet server.
+		// A report that arrived before this digest counted these requests as unseen. They
+		// would count twice until the next report, which takes seconds at an idle server.
 		b.unseen = max(0, b.unseen-float64(inFlight-old)*p.weight)
 	}
 	if inFlight == 0 {
@@ -254,6 +263,7 @@
 	t.changed = append(t.changed, c.Backend)
 }
 
+// zeroMissing sets a peer's counts to zero at the backend servers that a full digest lacks.
 func (t *Tracker) zeroMissing(p *peer, counts []Count, now time.Time) {
 	listed := make(map[string]bool, len(counts))
 	for _, c := range counts {
@@ -266,7 +276,7 @@
 	}
 }
 
-// weigh changes what a peer's counts are worth.
+// weigh changes the weight of a peer's counts.
 func (t *Tracker) weigh(p *peer, weight float64, now time.Time) {
 	for name, inFlight := range p.loads {
 		b := t.backend(name)
@@ -277,8 +287,8 @@
 	p.weight = weight
 }
 
-// ForgetPeer drops what a peer said, once it has left the fleet or has started
-// anew. It returns the backend servers whose estimate changed.
+// ForgetPeer drops the counts of a peer that has left the fleet or restarted. It returns the
+// backend servers whose estimate changed.
 func (t *Tracker) ForgetPeer(name string, now time.Time) []string {
 	t.changed = t.changed[:0]
 	if p := t.peers[name]; p != nil {
@@ -288,49 +298,49 @@
 	return t.sorted()
 }
 
-// Report takes a backend server's own word on its load and tells whether the
-// estimate changed.
+// Report applies a backend server's own report of its load and reports whether the estimate
+// changed.
 //
-// The same report may come from an answer's header, a poll and several peers, in
-// any order. One that is not newer by the server's own clock, or of an earlier
-// incarnation, is dropped; a clock set back is believed after a silence.
+// The same report may arrive from a response header, a poll and several peers, in any order. A
+// report that is not newer by the server's own clock or that is from an earlier incarnation is
+// dropped. A clock that was set back is accepted after clockStep without reports.
 func (t *Tracker) Report(r membership.Report, basis Basis, now time.Time) bool {
 	b := t.backend(r.Backend)
 	if !b.heard.IsZero() && !newer(r, b, now) {
 		return false
 	}
-	before := t.Estimate(r.Backend)
+	old := t.Estimate(r.Backend)
 	b.averageIn(float64(r.InFlight), now)
 	b.report, b.heard, b.basis = r, now, basis
 	b.peak.add(b.known(), now)
 	b.unseen = b.beyond(float64(r.InFlight))
-	return t.Estimate(r.Backend) != before
+	return t.Estimate(r.Backend) != old
 }
 
-// averageIn takes a report into the average. One report alone, the first included, is
-// never most of it: it may tell of a moment that is over.
+// averageIn adds a report to the moving average. A single report, including the first, never has
+// most of the weight, since the load that it shows may have ended.
 func (b *backend) averageIn(reported float64, now time.Time) {
 	since := min(now.Sub(b.heard), averageSpan/2)
 	weight := 1 - math.Exp(-since.Seconds()/averageSpan.Seconds())
 	b.average += weight * (reported - b.average)
 }
 
-// fadeAverage lets an average fade that no report has renewed, down to what own and peers
-// count: a server that hangs tells nothing, and would look idle while it fills. It tells
-// whether the estimate changed.
+// fadeAverage decays an average without recent reports, but not below the own and the peers'
+// counts: a server that hangs sends no reports and would look idle while its queue grows. It
+// reports whether the estimate changed.
 func (b *backend) fadeAverage(now time.Time) bool {
 	if b.basis != Averages || now.Sub(b.heard) < sweepInterval {
 		return false
 	}
-	before := b.average
+	old := b.average
 	b.average = max(b.known(), b.average*math.Exp(-sweepInterval.Seconds()/averageSpan.Seconds()))
 	if b.average < leastAverage {
 		b.average = 0
 	}
-	return b.average != before
+	return b.average != old
 }
 
-// beyond is what a report says beyond what is known.
+// beyond returns the part of a reported load that the counts do not explain.
 func (b *backend) beyond(reported float64) float64 {
 	if b.basis == Reports {
 		return reported - b.known()
@@ -338,6 +348,7 @@
 	return max(0, reported-b.peak.max())
 }
 
+// newer reports whether a report supersedes the last one of the backend server.
 func newer(r membership.Report, b *backend, now time.Time) bool {
 	if r.Incarnation != b.report.Incarnation {
 		return r.Incarnation > b.report.Incarnation
@@ -345,8 +356,7 @@
 	return r.At.After(b.report.At) || now.Sub(b.heard) >= clockStep
 }
 
-// Tick ages silent peers and old reports. It returns the backend servers whose
-// estimate changed.
+// Tick ages silent peers and old reports. It returns the backend servers whose estimate changed.
 func (t *Tracker) Tick(now time.Time) []string {
 	if now.Before(t.nextSweep) {
 		return nil
@@ -379,7 +389,7 @@
 	return t.sorted()
 }
 
-// fade is the worth of a peer's counts after a silence.
+// fade returns the weight of a peer's counts after a time without digests.
 func fade(silence time.Duration) float64 {
 	if silence <= peerSilent {
 		return 1
@@ -388,13 +398,14 @@
 	return max(0, float64(fadeSteps-step)/fadeSteps)
 }
 
+// sorted sorts t.changed, removes duplicates and returns it.
 func (t *Tracker) sorted() []string {
 	slices.Sort(t.changed)
 	t.changed = slices.Compact(t.changed)
 	return t.changed
 }
 
-// peak is the highest value of the last one to two windows.
+// peak tracks the highest value of the last one to two report windows.
 type peak struct {
 	since    time.Time
 	now, old float64
--- a/internal/core/load/load_test.go
+++ b/internal/core/load/load_test.go
@@ -22,13 +22,13 @@
 	return membership.Report{Backend: "b", Incarnation: 1, InFlight: inFlight, At: at}
 }
 
-// digest is the full digest of the one peer, p.
+// digest applies a full digest of the only peer, p.
 func digest(t *load.Tracker, inFlight int, at time.Time) {
 	t.Digest("p", at, true, []load.Count{{Backend: "b", InFlight: inFlight}}, at)
 }
 
-// All instances hear each other. A report 2 s old must not be added to what they
-// know already, or every load is counted twice and the pool looks full.
+// All instances exchange digests. A report that is 2 s old must not be added to the counts, or
+// every load counts twice and the pool looks full.
 func TestReportOfKnownLoadAddsNothing(t *testing.T) {
 	tr := load.NewTracker()
 	for range 5 {
@@ -42,8 +42,8 @@
 	require.InDelta(t, 9, tr.Estimate("b"), 0)
 }
 
-// An instance is cut off from its peers. What they send shows only in the backend
-// server's report: the estimate is the report plus what was sent since.
+// An instance is cut off from its peers, so their requests show only in the backend server's
+// report. The estimate is the report plus the requests that the instance has sent since.
 func TestCutOffInstanceFallsBackOnTheReport(t *testing.T) {
 	tr := load.NewTracker()
 	for range 5 {
@@ -53,14 +53,14 @@
 	require.InDelta(t, 40, tr.Estimate("b"), 0)
 	tr.Sent("b", after(3*time.Second))
 	require.InDelta(t, 41, tr.Estimate("b"), 0)
-	require.Equal(t, []string{"b"}, tr.Tick(after(20*time.Second)), "a report without a newer one counts no longer")
+	require.Equal(t, []string{"b"}, tr.Tick(after(20*time.Second)), "an expired report no longer counts")
 	require.InDelta(t, 6, tr.Estimate("b"), 0)
 }
 
-// Instances hear the loads of their own zone's third of the fleet alone, and seven
-// requests came and went there a moment ago. Set against that peak, an engine's word
-// on its eleven requests said nothing, and it was sent the sessions of three zones.
-// Nor may the counts of the own zone, which go up and down, wear the word away.
+// Instances get only the loads of their own zone, a third of the fleet, and seven requests were in
+// progress there a moment ago. When an engine's report of eleven requests was compared with that
+// peak, it had almost no effect, and the engine was sent the sessions of three zones. The changing
+// counts of the own zone must not use up the report either.
 func TestReportOfAPartlyKnownLoadCounts(t *testing.T) {
 	tr := load.NewTracker()
 	digest(tr, 7, after(time.Second))
@@ -76,26 +76,26 @@
 	require.True(t, tr.Report(report(0, after(3*time.Second)), load.Reports, after(3*time.Second)), "the digest is older")
 	require.Zero(t, tr.Estimate("b"))
 	digest(tr, 0, after(4*time.Second))
-	require.Zero(t, tr.Estimate("b"), "never under zero")
+	require.Zero(t, tr.Estimate("b"), "never below zero")
 }
 
-// The same report comes by several ways, late and out of order, and once from a
-// process that has since been replaced. Only news counts.
+// The same report arrives from several sources, late and out of order, and once from a process
+// that has since been replaced. Only newer reports count.
 func TestOldReportsAreDropped(t *testing.T) {
 	tr := load.NewTracker()
 	require.True(t, tr.Report(report(10, after(time.Second)), load.Counts, after(time.Second)))
 	require.False(t, tr.Report(report(99, after(time.Second)), load.Counts, after(2*time.Second)), "twice")
 	require.False(t, tr.Report(report(99, start), load.Counts, after(2*time.Second)), "late")
 	next := membership.Report{Backend: "b", Incarnation: 2, InFlight: 3, At: start}
-	require.True(t, tr.Report(next, load.Counts, after(3*time.Second)), "a new incarnation's clock starts anew")
+	require.True(t, tr.Report(next, load.Counts, after(3*time.Second)), "a new incarnation may have another clock")
 	require.False(t, tr.Report(report(99, after(4*time.Second)), load.Counts, after(4*time.Second)), "the old incarnation")
 	require.InDelta(t, 3, tr.Estimate("b"), 0)
 	next.InFlight, next.At = 4, start.Add(-time.Hour)
-	require.True(t, tr.Report(next, load.Counts, after(30*time.Second)), "a clock set back is believed after a silence")
+	require.True(t, tr.Report(next, load.Counts, after(30*time.Second)), "a clock that was set back is accepted after a time without reports")
 }
 
-// A peer falls silent: it died, or the link did. Its requests end one after the
-// other, so its counts fade; when it is heard again they are whole at once.
+// A peer that sends no digests has crashed or lost its link. Its requests end one after another,
+// so its counts fade; with the next digest they count in full again.
 func TestSilentPeerFades(t *testing.T) {
 	tr := load.NewTracker()
 	digest(tr, 8, start)
@@ -110,16 +110,16 @@
 	require.Zero(t, tr.Estimate("b"))
 }
 
-// Whatever digests come, in whatever order, twice or not at all, the estimate is
-// own requests plus each peer's newest counts, and nothing is left at the end.
+// Digests may arrive in any order, twice or not at all. The estimate must always be the own
+// requests plus each peer's newest counts, and no counts may remain once the peers are forgotten.
 func TestEstimateIsTheSumOfTheNewest(t *testing.T) {
-	type said struct {
+	type peerCounts struct {
 		at     time.Time
 		counts map[string]int
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		tr := load.NewTracker()
-		own, newest := map[string]int{}, map[string]said{}
+		own, newest := map[string]int{}, map[string]peerCounts{}
 		names := []string{"a", "b", "c"}
 		for step := range 60 {
 			now := after(time.Duration(step) * 100 * time.Millisecond)
@@ -188,10 +188,10 @@
 	return list
 }()
 
-// Two instances send to one engine at the same moment. The answer's head tells the
-// first that the engine has two; half a second later the second one's digest tells of
-// the same request. Counted twice, the engine would look fuller than it is, and the
-// next turn of its chats would go elsewhere.
+// Two instances send a request to the same engine at the same time. The response header reports
+// both requests to the first instance; half a second later the second instance's digest reports
+// its request again. If that request counted twice, the engine would look busier than it is, and
+// the next turns of its chats would be sent to other engines.
 func TestAReportAndALaterDigestCountOnce(t *testing.T) {
 	tracker := load.NewTracker()
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/core/membership/listed.go
+++ b/internal/core/membership/listed.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// When an instance that the platform's list leaves out counts as gone. The list
-// lags and may come back in part after an outage of the platform.
+// These constants define when a member that is missing from the platform's list counts as
+// gone. The list lags, and it may be incomplete after an outage of the platform.
 const (
-	// absentLists is the number of lists in a row that must leave it out.
+	// absentLists is the number of consecutive lists from which the member must be missing.
 	absentLists = 5
-	// absentAfter is the least time since a list last showed it.
+	// absentAfter is the minimum time since the member was last in a list.
 	absentAfter = 10 * time.Second
-	// suspectAfter applies while a list leaves out more than half of the live
-	// instances: rather a list that is not whole than the end of the fleet.
+	// suspectAfter replaces absentAfter while more than half of the live members are missing
+	// from a list: an incomplete list is then more likely than the loss of so many members.
 	suspectAfter = time.Minute
-	// suspectFrom is the number of live instances from which halves are compared.
+	// suspectFrom is the minimum number of live members at which suspectAfter can apply.
 	suspectFrom = 4
 )
 
-// Listed takes a whole list of the platform and returns the names whose state
-// changed. The caller passes only lists that were read with success: a cut from
-// the platform freezes the view. An empty list is taken for a failed one.
+// Listed applies a complete list of the platform and returns the names of the members that
+// changed. The caller passes only lists that were read successfully, so the view does not
+// change while the platform is unreachable. An empty list is treated as a failed read.
 //
-// Absence is an inference of this instance from its own reading. It is never
-// passed on, and a later list that shows the instance undoes it; the instance
-// then comes back by steps if that happens often.
+// Absence is inferred by this instance from its own reads. It is never sent to peers, and a
+// later list that contains the member undoes it. If this happens often, the member's share of
+// the load is ramped up in steps.
 func (v *View) Listed(now time.Time, list []Instance) []string {
 	if len(list) == 0 {
 		return nil
 	}
 	var changed []string
-	shown := make(map[string]bool, len(list))
-	for _, in := range list {
-		shown[in.Name] = true
-		merged := v.Merge(now, in)
-		if v.show(now, in.Name) || merged {
-			changed = append(changed, in.Name)
+	listed := make(map[string]bool, len(list))
+	for _, m := range list {
+		listed[m.Name] = true
+		merged := v.Merge(now, m)
+		if v.show(now, m.Name) || merged {
+			changed = append(changed, m.Name)
 		}
 	}
 	after := absentAfter
-	if v.suspect(shown) {
+	if v.suspect(listed) {
 		after = suspectAfter
 	}
 	for name, r := range v.records {
-		if !shown[name] && r.miss(now, after) {
+		if !listed[name] && r.miss(now, after) {
 			v.changed(r)
 			changed = append(changed, name)
 		}
@@ -49,7 +49,8 @@
 	return changed
 }
 
-// show notes that a list has the instance, and undoes its absence.
+// show records that a list or an entry contains the member, undoes its absence, and reports
+// whether that changed the view.
 func (v *View) show(now time.Time, name string) bool {
 	r := v.records[name]
 	r.present, r.missed, r.listed = now, 0, true
@@ -57,19 +58,19 @@
 		return false
 	}
 	r.absent = false
-	in := r.in
-	in.State = r.said
-	return v.set(now, r, in)
+	m := r.in
+	m.State = r.said
+	return v.set(now, r, m)
 }
 
-// inList tells whether a list that leaves the instance out says anything of it.
-// Backend servers that only the operators' text names, or that have an entry of
-// their own, are in no list.
+// inList reports whether the member is expected in the platform's list, so that its absence
+// from a list is meaningful. Backend servers that only the operators' configuration names, or
+// that have an entry of their own in the store, are in no list.
 func (r *record) inList() bool {
 	return r.in.Role == Entry || r.in.Role == Backend && r.listed && !r.registered
 }
 
-// miss notes that a list lacks the instance, and tells whether it counts as gone
+// miss records that a list lacks the member, and reports whether the member counts as gone
 // from now on.
 func (r *record) miss(now time.Time, after time.Duration) bool {
 	if !r.inList() || r.absent || r.in.State == Gone {
@@ -84,15 +85,15 @@
 	return true
 }
 
-// suspect tells whether a list leaves out more than half of the live instances.
-func (v *View) suspect(shown map[string]bool) bool {
+// suspect reports whether more than half of the live members are missing from a list.
+func (v *View) suspect(listed map[string]bool) bool {
 	live, missing := 0, 0
 	for name, r := range v.records {
 		if !r.inList() || r.in.State != Live {
 			continue
 		}
 		live++
-		if !shown[name] {
+		if !listed[name] {
 			missing++
 		}
 	}
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,23 +1,25 @@
-// Package membership merges what is said of backend servers and of the fleet's
-// own instances into one view, in which nothing that left comes back to life.
+// Package membership merges information on backend servers and on the fleet's own instances
+// from several sources into one view. Within one incarnation a member that has left never
+// becomes live again.
 package membership
 
 import "time"
 
-// State is what is known of an instance.
+// State is the lifecycle state of a member.
 type State string
 
-// The states, in the order in which they win within one incarnation.
+// The states, in ascending order of precedence within one incarnation.
 const (
-	// Live instances take new work.
+	// Live members accept new requests.
 	Live State = "live"
-	// Leaving instances end the work they have and get none.
+	// Leaving members finish their requests in progress and get no new ones.
 	Leaving State = "leaving"
-	// Gone instances are no more.
+	// Gone members no longer exist.
 	Gone State = "gone"
 )
 
-// rank orders the states within one incarnation: a later one is never undone.
+// rank returns the precedence of a state within one incarnation: a state never replaces one of
+// higher rank.
 func (s State) rank() int {
 	switch s {
 	case Live:
@@ -31,53 +33,53 @@
 	}
 }
 
-// Role tells the fleet's own instances from backend servers.
+// Role distinguishes the fleet's own instances from backend servers.
 type Role string
 
 // The roles in the platform's list.
 const (
-	// Entry is an instance of this system.
+	// Entry is an instance of the fleet.
 	Entry Role = "entry"
 	// Backend is a backend server.
 	Backend Role = "backend"
 )
 
-// Instance is one line of the platform's list.
+// Instance is one entry of the platform's list: an instance of the fleet or a backend server.
 type Instance struct {
 	Name string `json:"name"`
 	Role Role   `json:"role"`
-	// Service is a backend server's service.
+	// Service is the service of a backend server.
 	Service string `json:"service,omitempty"`
 	Zone    string `json:"zone"`
-	// Address is the address for traffic; for an entry instance, for its peers.
+	// Address is the address for requests to a backend server, or for an instance's peers.
 	Address string `json:"address"`
-	// Slots is the number of requests that a backend server says it works on at once;
-	// 0 if it does not say.
+	// Slots is the number of requests that a backend server processes concurrently by its own
+	// account; 0 if it reports none.
 	Slots int `json:"slots,omitempty"`
-	// Incarnation grows each time a process starts under this name.
+	// Incarnation increases each time a process starts under this name.
 	Incarnation uint64 `json:"incarnation"`
 	State       State  `json:"state"`
 }
 
-// Fact returns what the line says of the instance's state.
-func (in Instance) Fact() Fact {
-	return Fact{Name: in.Name, Incarnation: in.Incarnation, State: in.State}
+// Fact returns the name, incarnation and state of the entry.
+func (m Instance) Fact() Fact {
+	return Fact{Name: m.Name, Incarnation: m.Incarnation, State: m.State}
 }
 
-// Fact is one thing said of an instance by anyone.
+// Fact is the state of a member as reported by any source.
 type Fact struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	State       State  `json:"state"`
 }
 
-// Report is a backend server's own word on its state and load.
+// Report is a backend server's own report of its state and load.
 type Report struct {
 	Backend     string `json:"backend"`
 	Incarnation uint64 `json:"incarnation"`
 	State       State  `json:"state"`
-	// InFlight is the number of requests it works on or queues.
+	// InFlight is the number of requests that the server processes or queues.
 	InFlight int `json:"in_flight"`
-	// At is when the load was so, by the clock of the one who says it.
+	// At is the time at which the load was measured, by the server's clock.
 	At time.Time `json:"at"`
 }
--- a/internal/core/membership/returns.go
+++ b/internal/core/membership/returns.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// How a flapping backend server comes back.
+// These constants define how the load of a flapping backend server is ramped up.
 const (
-	// flapWindow is how long a return is remembered. One return within it is a
-	// restart and gets its full share at once; more are flapping.
+	// flapWindow is the time for which a return is remembered. A single return within it counts
+	// as a restart, and the server gets its full load at once; more count as flapping.
 	flapWindow = 10 * time.Minute
-	// firstStep is the length of each step of the second return; it doubles with
-	// each further one up to maxStep.
+	// firstStep is the length of each ramp step after the second return. It doubles with each
+	// further return, up to maxStep.
 	firstStep = 10 * time.Second
 	maxStep   = 2 * time.Minute
 )
 
-// steps are the shares of a returning backend server, one after another, before
-// it gets its whole share.
+// steps holds the successive shares of its normal load that a flapping backend server gets
+// before it gets its full load.
 var steps = [...]float64{0.25, 0.5}
 
-// returns remembers when an instance came back to life.
+// returns counts how often a member became live again.
 type returns struct {
 	count int
 	last  time.Time
 }
 
+// add counts a return. It starts a new count if the last return is older than flapWindow.
 func (r *returns) add(now time.Time) {
 	if now.Sub(r.last) > flapWindow {
 		r.count = 0
@@ -34,7 +35,7 @@
 	r.last = now
 }
 
-// share is the part of its normal load that the instance may get now.
+// share returns the fraction of its normal load that the member may get now.
 func (r *returns) share(now time.Time) float64 {
 	if r.count < 2 {
 		return 1
@@ -50,8 +51,8 @@
 	return steps[max(0, step)]
 }
 
-// Share is the part of its normal load that an instance may get, in (0, 1]. It is
-// under 1 only while a flapping one comes back.
+// Share returns the fraction of its normal load that a member may get, in (0, 1]. It is below 1
+// only while the load of a flapping member is ramped up.
 func (v *View) Share(name string, now time.Time) float64 {
 	r := v.records[name]
 	if r == nil {
@@ -60,13 +61,12 @@
 	return r.returns.share(now)
 }
 
-// Stepped returns the instances whose share has changed since it was last called,
-// sorted by name.
+// Stepped returns the names of the members whose share has changed since its last call, sorted.
 func (v *View) Stepped(now time.Time) []string {
 	var names []string
-	for name, before := range v.returning {
+	for name, old := range v.returning {
 		share := v.records[name].returns.share(now)
-		if share != before {
+		if share != old {
 			names = append(names, name)
 		}
 		v.returning[name] = share
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -5,48 +5,53 @@
 	"time"
 )
 
-// Bounds on what a view remembers.
+// Bounds on the memory of a view.
 const (
-	// tombstoneKeep is how long an instance that is no more is remembered after
-	// the last time that anyone spoke of it. A source that repeats an older state
-	// must not lag more than this; the platform's list lags by seconds, a peer by
-	// at most the time it was frozen.
+	// tombstoneKeep is the time for which a gone member is kept after a source last mentioned
+	// it. No source that repeats an older state may lag by more than this. The platform's list
+	// lags by seconds, a peer at most by the time for which it was frozen.
 	tombstoneKeep = 24 * time.Hour
-	// maxTombstones bounds them by number, oldest out first. At the 300
-	// replacements of an ordinary day it is never reached.
+	// maxTombstones bounds the number of gone members that are kept; the oldest are dropped
+	// first. About 300 replacements on an ordinary day never reach it.
 	maxTombstones = 20_000
-	// changeLog is the number of changes that Changes can look back on.
+	// changeLog is the number of past changes that Changes can return.
 	changeLog = 256
 )
 
-// View is the merged state of all instances.
+// View is the merged state of all members.
 //
-// Whether an instance may get new work is decided by two things: what was said of
-// it (hard: within one incarnation it only moves towards gone) and whether the
-// platform's list has left it out (soft: an inference, which a later list undoes).
+// Two inputs decide whether a member may get new requests. The first is the state reported by
+// any source, which within one incarnation only moves towards gone. The second is absence from
+// the platform's list, which is only an inference and is undone by a later list.
 type View struct {
 	records   map[string]*record
 	byService map[string]map[string]*record
+	// returning holds, for each member whose load is ramped up, the share at the last check.
 	returning map[string]float64
-	log       []string
-	seq       uint64
+	// log holds the names of changed members, oldest first; its last entry has number seq.
+	log []string
+	seq uint64
 }
 
+// record holds the state of one member.
 type record struct {
-	// in is what the other packages see: its state is gone while absent is set.
+	// in is the member as other packages see it: its state is gone while absent is set.
 	in Instance
-	// said is the state by word, whatever the list leaves out.
+	// said is the reported state, regardless of absence from lists.
 	said State
-	// mentioned is when any source last spoke of the instance.
+	// mentioned is the time of the last information on the member from any source.
 	mentioned time.Time
-	// present is when a list last showed it or a peer introduced it.
+	// present is the time at which the member was last in a list, or at which its incarnation
+	// became known.
 	present time.Time
-	// missed counts the lists in a row without it; absent is the conclusion.
+	// missed is the number of consecutive lists without the member. absent is set once the
+	// member counts as gone for that reason or because its entry in the store is missing.
 	missed int
 	absent bool
-	// listed is set once a list showed it, registered once it had its own entry.
+	// listed is set once the member was in a list, registered once it had an entry of its own
+	// in the store.
 	listed, registered bool
-	// seq is the number of its last change.
+	// seq is the sequence number of the member's last change.
 	seq     uint64
 	returns returns
 }
@@ -60,44 +65,43 @@
 	}
 }
 
-// Merge takes one line of a list, the platform's or a peer's, and tells whether
-// the view changed.
+// Merge applies one entry of a list from the platform or a peer, and reports whether the view
+// changed.
 //
-// A lagging source may repeat what was true before: within one incarnation a
-// state of lower rank never undoes one of higher rank, and an older incarnation
-// never undoes a newer one.
-func (v *View) Merge(now time.Time, in Instance) bool {
-	r := v.records[in.Name]
+// A lagging source may repeat an outdated state. Therefore a state never replaces one of higher
+// rank within the same incarnation, and an older incarnation never replaces a newer one.
+func (v *View) Merge(now time.Time, m Instance) bool {
+	r := v.records[m.Name]
 	if r == nil {
 		r = &record{}
-		v.records[in.Name] = r
+		v.records[m.Name] = r
 	}
 	r.mentioned = now
 	if r.present.IsZero() {
 		r.present = now
 	}
-	if r.in.Name != "" && older(in.Incarnation, in.State, r) {
+	if r.in.Name != "" && older(m.Incarnation, m.State, r) {
 		return false
 	}
-	if in.Incarnation > r.in.Incarnation {
+	if m.Incarnation > r.in.Incarnation {
 		r.absent, r.missed, r.present = false, 0, now
 	}
-	return v.set(now, r, in)
+	return v.set(now, r, m)
 }
 
-// Introduce takes a line that a peer passes on. Of an incarnation that is known it
-// takes the state only: the rest was read from this instance's own list, and two
-// instances whose lists differ would rewrite each other's for ever.
-func (v *View) Introduce(now time.Time, in Instance) bool {
-	if r := v.records[in.Name]; r != nil && r.in.Role != "" && r.in.Incarnation == in.Incarnation {
-		return v.Learn(now, in.Fact())
+// Introduce applies an entry that a peer forwards. If the incarnation is already known, it
+// applies only the state. The other fields come from this instance's own list: two instances
+// whose lists differ would otherwise overwrite each other's fields forever.
+func (v *View) Introduce(now time.Time, m Instance) bool {
+	if r := v.records[m.Name]; r != nil && r.in.Role != "" && r.in.Incarnation == m.Incarnation {
+		return v.Learn(now, m.Fact())
 	}
-	return v.Merge(now, in)
+	return v.Merge(now, m)
 }
 
-// Learn takes one fact and tells whether the view changed. A fact that names an
-// instance nobody has introduced yet is kept if it rules the instance out, so
-// that an older line that introduces it later does not bring it to life.
+// Learn applies one fact and reports whether the view changed. A fact about an unknown member
+// is kept unless its state is live, so that an older entry that arrives later does not make the
+// member live.
 func (v *View) Learn(now time.Time, f Fact) bool {
 	r := v.records[f.Name]
 	if r == nil {
@@ -106,34 +110,35 @@
 		}
 		return v.Merge(now, Instance{Name: f.Name, Incarnation: f.Incarnation, State: f.State})
 	}
-	in := r.in
-	in.Incarnation, in.State = f.Incarnation, f.State
-	return v.Merge(now, in)
+	m := r.in
+	m.Incarnation, m.State = f.Incarnation, f.State
+	return v.Merge(now, m)
 }
 
-// Renew notes that a live instance has started anew under its name and address. That is
-// no change to anyone who has it for live, and is told to nobody.
+// Renew records a newer incarnation of a live member that has restarted under the same name and
+// address. It does not count as a change and is not sent to peers, since they already have the
+// member as live.
 func (v *View) Renew(name string, incarnation uint64) {
 	if r := v.records[name]; r != nil && incarnation > r.in.Incarnation {
 		r.in.Incarnation = incarnation
 	}
 }
 
-// Register takes an instance's own entry in the platform's store and tells whether
-// the view changed. An entry that is there undoes an absence.
-func (v *View) Register(now time.Time, in Instance) bool {
-	changed := v.Merge(now, in)
-	r := v.records[in.Name]
+// Register applies a member's own entry in the platform's store and reports whether the view
+// changed. The entry undoes an absence.
+func (v *View) Register(now time.Time, m Instance) bool {
+	changed := v.Merge(now, m)
+	r := v.records[m.Name]
 	r.registered = true
-	if r.in.Incarnation == in.Incarnation {
-		changed = v.show(now, in.Name) || changed
+	if r.in.Incarnation == m.Incarnation {
+		changed = v.show(now, m.Name) || changed
 	}
 	return changed
 }
 
-// Unregister notes that an instance has no entry any more and tells whether the view
-// changed. That is an absence, which a later entry undoes: entries also lapse while
-// the store is away.
+// Unregister records that a member no longer has an entry in the store and reports whether the
+// view changed. The member counts as absent, which a later entry undoes: entries also expire
+// during an outage of the store.
 func (v *View) Unregister(name string) bool {
 	r := v.records[name]
 	if r == nil || r.absent || r.in.State == Gone {
@@ -145,15 +150,14 @@
 	return true
 }
 
-// Report takes a backend server's own word on its state. A report without an
-// incarnation speaks of the one that the platform's list gave; fresh says that it
-// was asked for just now and cannot be an answer that was under way for long.
+// Report applies a backend server's own report of its state and reports whether the view
+// changed. A report without an incarnation refers to the incarnation in the platform's list.
+// fresh is set if the server was asked just now, so that the report cannot be outdated.
 //
-// A server that only the operators' text names and that gives no incarnation is
-// ordered by its own clock, so that one that was restarted can come back: its word
-// at a later time stands for a later incarnation. Only a fresh word that it is
-// live counts for that, because the header of a long answer is as old as the
-// answer's first byte.
+// A server that only the operators' configuration names and that reports no incarnation is
+// ordered by its own clock: a report with a later time counts as a later incarnation, so that a
+// restarted server can become live again. For this a live state counts only in a fresh report,
+// because the header of a long response is as old as the response's first byte.
 func (v *View) Report(now time.Time, rep Report, fresh bool) bool {
 	if rep.State.rank() == 0 || rep.Backend == "" {
 		return false
@@ -180,6 +184,7 @@
 	return v.Learn(now, f)
 }
 
+// older reports whether an incarnation and state are outdated compared with a record.
 func older(incarnation uint64, state State, r *record) bool {
 	if incarnation != r.in.Incarnation {
 		return incarnation < r.in.Incarnation
@@ -187,40 +192,41 @@
 	return state.rank() < r.said.rank()
 }
 
-// set makes in what is said of the record and tells whether that is news.
-func (v *View) set(now time.Time, r *record, in Instance) bool {
-	before := r.in
-	r.said = in.State
+// set stores a reported member in its record and reports whether that changed the view.
+func (v *View) set(now time.Time, r *record, m Instance) bool {
+	old := r.in
+	r.said = m.State
 	if r.absent {
-		in.State = Gone
+		m.State = Gone
 	}
-	if before == in {
+	if old == m {
 		return false
 	}
-	v.move(r, before.Service, in)
-	if before.Name != "" && before.State != Live && in.State == Live {
+	v.move(r, old.Service, m)
+	if old.Name != "" && old.State != Live && m.State == Live {
 		r.returns.add(now)
-		v.returning[in.Name] = r.returns.share(now)
+		v.returning[m.Name] = r.returns.share(now)
 	}
 	v.changed(r)
 	return true
 }
 
-// move keeps the index by service in step.
-func (v *View) move(r *record, from string, in Instance) {
-	r.in = in
-	if from != in.Service {
-		delete(v.byService[from], in.Name)
+// move stores a member in its record and updates the index by service.
+func (v *View) move(r *record, oldService string, m Instance) {
+	r.in = m
+	if oldService != m.Service {
+		delete(v.byService[oldService], m.Name)
 	}
-	if in.Service == "" {
+	if m.Service == "" {
 		return
 	}
-	if v.byService[in.Service] == nil {
-		v.byService[in.Service] = make(map[string]*record)
+	if v.byService[m.Service] == nil {
+		v.byService[m.Service] = make(map[string]*record)
 	}
-	v.byService[in.Service][in.Name] = r
+	v.byService[m.Service][m.Name] = r
 }
 
+// changed assigns the next sequence number to a record and appends it to the change log.
 func (v *View) changed(r *record) {
 	v.seq++
 	r.seq = v.seq
@@ -230,39 +236,39 @@
 	}
 }
 
-// Seq is the number of the last change.
+// Seq returns the sequence number of the last change.
 func (v *View) Seq() uint64 { return v.seq }
 
-// Changes returns the instances that changed after the change numbered since,
-// the newest first and at most limit of them. It is not complete if more changed
-// or if since lies further back than the view remembers.
-func (v *View) Changes(since uint64, limit int) (list []Instance, complete bool) {
+// Changes returns the members that changed after the sequence number since, newest first and at
+// most limit of them. complete is false if more have changed or if the change log does not reach
+// back to since.
+func (v *View) Changes(since uint64, limit int) (members []Instance, complete bool) {
 	for i := len(v.log) - 1; i >= 0; i-- {
 		seq := v.seq - uint64(len(v.log)-1-i)
 		if seq <= since {
-			return list, true
+			return members, true
 		}
 		r := v.records[v.log[i]]
 		if r == nil || r.seq != seq {
 			continue
 		}
-		if len(list) == limit {
-			return list, false
+		if len(members) == limit {
+			return members, false
 		}
-		list = append(list, r.word())
+		members = append(members, r.word())
 	}
-	return list, since >= v.seq-uint64(len(v.log))
+	return members, since >= v.seq-uint64(len(v.log))
 }
 
-// word is what may be passed on to peers: what was said, not what this instance
-// inferred from its own lists.
+// word returns the member in the form that may be sent to peers: with its reported state, not
+// the absence that this instance inferred from its own reads.
 func (r *record) word() Instance {
-	in := r.in
-	in.State = r.said
-	return in
+	m := r.in
+	m.State = r.said
+	return m
 }
 
-// Get returns what is known of an instance, or nil.
+// Get returns a member, or nil if it is unknown.
 func (v *View) Get(name string) *Instance {
 	r := v.records[name]
 	if r == nil {
@@ -271,29 +277,29 @@
 	return &r.in
 }
 
-// Each calls f for every instance, in no order.
+// Each calls f for every member, in no particular order.
 func (v *View) Each(f func(*Instance)) {
 	for _, r := range v.records {
 		f(&r.in)
 	}
 }
 
-// EachOf calls f for every backend server of a service, in no order.
+// EachOf calls f for every backend server of a service, in no particular order.
 func (v *View) EachOf(service string, f func(*Instance)) {
 	for _, r := range v.byService[service] {
 		f(&r.in)
 	}
 }
 
-// Expire forgets instances that were ruled out (a backend server of the operators'
-// text also when it was leaving, so that it is tried again) and of which nobody has spoken for
-// tombstoneKeep, and the oldest of them beyond maxTombstones.
+// Expire removes gone members that no source has mentioned for tombstoneKeep, and the oldest
+// ones beyond maxTombstones. Backend servers that only the operators' configuration names are
+// also removed while they are leaving, so that they are tried again.
 //
-// Forgetting one lets an older line bring it back, so the time is far above the
-// lag of any source. A process that was frozen for longer can still repeat such a
-// line; the next lists leave the name out and it goes again.
+// After the removal an outdated entry can make the member live again, so tombstoneKeep is far
+// above the lag of any source. A process that was frozen for longer can still send such an
+// entry; the next lists lack the member, and it counts as gone again.
 func (v *View) Expire(now time.Time) {
-	var dead []*record
+	var tombstones []*record
 	for name, r := range v.records {
 		if r.in.State == Live || r.in.State == Leaving && r.in.Role != "" {
 			continue
@@ -302,17 +308,18 @@
 			v.forget(name, r)
 			continue
 		}
-		dead = append(dead, r)
+		tombstones = append(tombstones, r)
 	}
-	if len(dead) <= maxTombstones {
+	if len(tombstones) <= maxTombstones {
 		return
 	}
-	slices.SortFunc(dead, func(a, b *record) int { return a.mentioned.Compare(b.mentioned) })
-	for _, r := range dead[:len(dead)-maxTombstones] {
+	slices.SortFunc(tombstones, func(a, b *record) int { return a.mentioned.Compare(b.mentioned) })
+	for _, r := range tombstones[:len(tombstones)-maxTombstones] {
 		v.forget(r.in.Name, r)
 	}
 }
 
+// forget removes a record from the view and its indexes.
 func (v *View) forget(name string, r *record) {
 	delete(v.records, name)
 	delete(v.byService[r.in.Service], name)
--- a/internal/core/membership/view_test.go
+++ b/internal/core/membership/view_test.go
@@ -24,14 +24,13 @@
 	}
 }
 
-// A caller would be sent to an engine that is shutting down. The engine's word
-// that it leaves is followed, in any order and any number of times, by older lines
-// of the platform's list and of peers that still name it live. Cause: every
-// source lags, each by its own time.
+// An engine that is shutting down must not get new requests. After the engine reports that it is
+// leaving, older entries from the platform's list and from peers may still report it live, in any
+// order and any number of times, because every source lags by a different time.
 func TestWithinAnIncarnationNothingThatLeftComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := membership.NewView()
-		worst := make(map[string]membership.Instance)
+		want := make(map[string]membership.Instance)
 		now := start
 		state := rapid.SampledFrom([]membership.State{membership.Live, membership.Leaving, membership.Gone})
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -45,14 +44,14 @@
 				v.Listed(now, []membership.Instance{in})
 			case 2:
 				v.Learn(now, in.Fact())
-				if worst[name].Name == "" && in.State == membership.Live {
+				if want[name].Name == "" && in.State == membership.Live {
 					continue
 				}
 			case 3:
 				v.Report(now, membership.Report{Backend: name, Incarnation: in.Incarnation, State: in.State}, i%2 == 0)
 			}
-			worst[name] = worse(worst[name], in)
-			for name, in := range worst {
+			want[name] = worse(want[name], in)
+			for name, in := range want {
 				got := v.Get(name)
 				require.NotNil(t, got)
 				require.Equal(t, in.Incarnation, got.Incarnation)
@@ -64,6 +63,7 @@
 	})
 }
 
+// worse returns the entry that takes precedence in the view.
 func worse(a, b membership.Instance) membership.Instance {
 	rank := map[membership.State]int{membership.Live: 1, membership.Leaving: 2, membership.Gone: 3}
 	if b.Incarnation > a.Incarnation || b.Incarnation == a.Incarnation && rank[b.State] > rank[a.State] {
@@ -72,9 +72,9 @@
 	return a
 }
 
-// A server that crashed without a word stays in the ranking for ever, or a whole
-// zone loses its servers at once because the platform came back with an empty or
-// half a list. Cause: absence from one list is no evidence; from many it is.
+// A member counts as gone only if it is missing from several complete lists. Without this rule a
+// server that crashed without a report would stay in the ranking forever, or a zone would lose
+// all its servers at once when the platform returns an empty or partial list after an outage.
 func TestAbsenceCountsOnlyOverSeveralWholeLists(t *testing.T) {
 	all := []membership.Instance{
 		engine("a", 1, membership.Live), engine("b", 1, membership.Live),
@@ -97,9 +97,9 @@
 	require.Zero(t, goneAfter(all, time.Hour), "whole lists")
 }
 
-// A live server that the platform forgot for a while would stay without work
-// until it restarts. Absence is only inferred, so a later list undoes it, unlike a
-// word that the server leaves; and it is never told to peers.
+// A live server that was temporarily missing from the platform's list must get requests again
+// without a restart. Absence is only inferred, so a later list undoes it, unlike a reported
+// leaving state. Absence is never sent to peers.
 func TestAListUndoesAbsenceButNotAWord(t *testing.T) {
 	all := []membership.Instance{engine("a", 1, membership.Live), engine("b", 1, membership.Live), engine("c", 1, membership.Live)}
 	v := membership.NewView()
@@ -111,7 +111,7 @@
 	require.Equal(t, membership.Gone, v.Get("c").State)
 	changes, complete := v.Changes(seq, 10)
 	require.True(t, complete)
-	require.Equal(t, []membership.Instance{all[2]}, changes, "peers hear what was said, not what was inferred")
+	require.Equal(t, []membership.Instance{all[2]}, changes, "peers get the reported state, not the inferred one")
 
 	v.Listed(at(22*time.Second), all)
 	require.Equal(t, membership.Live, v.Get("c").State)
@@ -123,8 +123,8 @@
 	require.Equal(t, membership.Live, v.Get("c").State, "a new incarnation under the same address")
 }
 
-// Two instances whose lists show an address differently would tell each other theirs
-// for ever, and each would dial the other's.
+// Two instances whose lists have different addresses for a member must not overwrite each other's
+// address. They would otherwise exchange updates forever and each would dial the other's address.
 func TestAPeerIntroducesButDoesNotRewrite(t *testing.T) {
 	v := membership.NewView()
 	own := engine("a", 1, membership.Live)
@@ -138,33 +138,34 @@
 	require.Equal(t, own.Address, v.Get("a").Address)
 	theirs.Incarnation, theirs.State = 2, membership.Live
 	require.True(t, v.Introduce(at(3*time.Second), theirs))
-	require.Equal(t, theirs, *v.Get("a"), "a new incarnation may stand elsewhere")
+	require.Equal(t, theirs, *v.Get("a"), "a new incarnation may have another address")
 }
 
-// A fixed server that is in no list drains, is restarted and would never get work
-// again, or its long answers, whose headers were written before the drain, would
-// bring it back while it drains. Cause: it gives no incarnation.
+// A statically configured server is in no list and reports no incarnation, so its reports are
+// ordered by its own clock. Without that order it would never get requests again after a drain
+// and restart, or long responses whose headers were written before the drain would make it live
+// again while it drains.
 func TestFixedServersAreOrderedByTheirOwnClock(t *testing.T) {
-	say := func(v *membership.View, when time.Duration, s membership.State, fresh bool) {
+	report := func(v *membership.View, when time.Duration, s membership.State, fresh bool) {
 		v.Report(at(time.Hour), membership.Report{Backend: "portal-a", State: s, At: at(when)}, fresh)
 	}
 	v := membership.NewView()
-	say(v, 1*time.Second, membership.Live, true)
-	require.Nil(t, v.Get("portal-a"), "nothing to remember of a live one")
-	say(v, 5*time.Second, membership.Leaving, false)
+	report(v, 1*time.Second, membership.Live, true)
+	require.Nil(t, v.Get("portal-a"), "a live server needs no record")
+	report(v, 5*time.Second, membership.Leaving, false)
 	require.Equal(t, membership.Leaving, v.Get("portal-a").State)
-	say(v, 6*time.Second, membership.Live, false)
-	require.Equal(t, membership.Leaving, v.Get("portal-a").State, "the header of an answer that took long")
-	say(v, 4*time.Second, membership.Live, true)
-	require.Equal(t, membership.Leaving, v.Get("portal-a").State, "an older report that came late")
-	say(v, 60*time.Second, membership.Live, true)
+	report(v, 6*time.Second, membership.Live, false)
+	require.Equal(t, membership.Leaving, v.Get("portal-a").State, "the header of a long response")
+	report(v, 4*time.Second, membership.Live, true)
+	require.Equal(t, membership.Leaving, v.Get("portal-a").State, "an older report that arrived late")
+	report(v, 60*time.Second, membership.Live, true)
 	require.Equal(t, membership.Live, v.Get("portal-a").State, "restarted")
-	say(v, 5*time.Second, membership.Leaving, false)
-	require.Equal(t, membership.Live, v.Get("portal-a").State, "a refusal of before the restart that came late")
+	report(v, 5*time.Second, membership.Leaving, false)
+	require.Equal(t, membership.Live, v.Get("portal-a").State, "a refusal from before the restart that arrived late")
 }
 
-// A server that restarts every minute gets its full share each time, and each time
-// callers lose what it was working on. Cause: nobody remembers that it flaps.
+// A server that restarts every minute must not get its full load each time, since each crash
+// loses its requests in progress. The view counts recent returns and ramps up the load in steps.
 func TestFlappingServersComeBackBySteps(t *testing.T) {
 	v := membership.NewView()
 	v.Merge(start, engine("a", 1, membership.Live))
@@ -188,18 +189,18 @@
 	flap(3*time.Minute, 4)
 	require.Equal(t, []float64{0.25, 0.25, 0.5, 1}, shares(3*time.Minute, 0, 10*time.Second, 20*time.Second, 40*time.Second))
 	flap(time.Hour, 5)
-	require.InDelta(t, 1, v.Share("a", at(time.Hour)), 0, "long quiet before")
+	require.InDelta(t, 1, v.Share("a", at(time.Hour)), 0, "no return for a long time before")
 }
 
-// A memory of every server that ever was would grow without end; forgotten too
-// early, a lagging line brings a dead server back.
+// Gone members must be dropped eventually, or memory would grow without bound. If they are dropped
+// too early, an outdated entry makes a gone server live again.
 func TestTombstonesAreKeptADayAndBounded(t *testing.T) {
 	v := membership.NewView()
 	for i := range 20_010 {
 		v.Merge(at(time.Duration(i)*time.Millisecond), engine(fmt.Sprintf("e%d", i), 1, membership.Gone))
 	}
 	v.Expire(at(time.Minute))
-	require.Nil(t, v.Get("e9"), "the oldest beyond the bound")
+	require.Nil(t, v.Get("e9"), "the oldest one beyond the bound")
 	require.NotNil(t, v.Get("e10"))
 	v.Merge(at(23*time.Hour), engine("e11", 1, membership.Live))
 	require.Equal(t, membership.Gone, v.Get("e11").State)
--- a/internal/core/mesh/mesh_test.go
+++ b/internal/core/mesh/mesh_test.go
@@ -26,9 +26,9 @@
 	return out
 }
 
-// TestLayoutCarriesEveryLoadOnce follows the rules of the layout for one backend
-// server at many sizes: whatever instance one stands at, its mates' own loads, the
-// heads' sums, the columns and the other zones must reach it, each exactly once.
+// TestLayoutCarriesEveryLoadOnce follows the layout for one backend server at many fleet
+// sizes: the loads of all instances must reach every instance exactly once, whether from
+// its row peers, its aggregators, other rows or other zones.
 func TestLayoutCarriesEveryLoadOnce(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 10, 11, 12, 17, 23, 31, 58, 59, 64, 100, 350} {
 		for _, zones := range []int{1, 3} {
@@ -42,32 +42,34 @@
 	}
 }
 
-// heard counts the instances whose loads at a backend server reach l.
+// heard returns the number of instances whose loads at a backend server reach l.
 func heard(t *testing.T, all map[string]*Layout, l *Layout, backend string) int {
 	if !l.Apart() {
 		return 1 + len(l.mates)
 	}
 	s := l.Slice(backend)
-	head := all[l.Head(s, awake)]
-	heard := zoneSum(t, all, head, s)
-	for _, other := range head.Counterparts(s, awake).Heard {
-		require.Contains(t, all[other].Counterparts(s, awake).Told, head.self)
-		heard += zoneSum(t, all, all[other], s)
+	aggregator := all[l.Head(s, awake)]
+	sum := zoneSum(t, all, aggregator, s)
+	for _, other := range aggregator.Counterparts(s, awake).Heard {
+		require.Contains(t, all[other].Counterparts(s, awake).Told, aggregator.self)
+		sum += zoneSum(t, all, all[other], s)
 	}
-	return heard
+	return sum
 }
 
-// zoneSum counts the instances of a head's zone whose loads in a slice reach it.
-func zoneSum(t *testing.T, all map[string]*Layout, head *Layout, slice int) int {
-	sum := 1 + len(head.mates)
-	for _, column := range head.Columns(slice, awake) {
+// zoneSum returns the number of instances in an aggregator's zone whose loads in a shard
+// reach it.
+func zoneSum(t *testing.T, all map[string]*Layout, aggregator *Layout, shard int) int {
+	sum := 1 + len(aggregator.mates)
+	for _, column := range aggregator.Columns(shard, awake) {
 		sum += 1 + len(all[column].mates)
-		require.Contains(t, all[column].Columns(slice, awake), head.self)
+		require.Contains(t, all[column].Columns(shard, awake), aggregator.self)
 	}
 	return sum
 }
 
-// Zones of very unequal sizes have unequal numbers of rows.
+// Zones of very different sizes have different numbers of rows; a load must still reach
+// each instance exactly once.
 func TestUnequalZonesHearEachOtherOnce(t *testing.T) {
 	var members []Member
 	for zone, size := range []int{1, 5, 12, 60} {
@@ -84,8 +86,9 @@
 	}
 }
 
-// TestLinksAreMutualAndFew shows that both ends of a link know of it, and how many
-// links an instance of the two-year size holds.
+// TestLinksAreMutualAndFew checks that both ends of a link have it in their layout and
+// that the number of links per instance stays small up to the fleet size expected in two
+// years.
 func TestLinksAreMutualAndFew(t *testing.T) {
 	for _, size := range []struct{ n, zones, most int }{{8, 3, 7}, {58, 1, 14}, {58, 6, 19}, {350, 6, 24}} {
 		all := layouts(fleet(size.n, size.zones))
@@ -103,31 +106,31 @@
 	}
 }
 
-// TestSilentHeadIsReplacedByTheSame freezes the head of a slice: its mates and the
-// heads of the slice in other rows must settle on the same other member, without
-// a word between them, or loads would be added up twice or never.
+// TestSilentHeadIsReplacedByTheSame freezes the aggregator of a shard: its row peers and
+// the shard's aggregators in other rows must choose the same replacement without exchanging
+// messages. Otherwise loads would be counted twice or not at all.
 func TestSilentHeadIsReplacedByTheSame(t *testing.T) {
 	all := layouts(fleet(58, 1))
-	one := all["entry-000"]
-	for s := range one.Slices() {
-		frozen := one.Head(s, awake)
+	self := all["entry-000"]
+	for s := range self.Slices() {
+		frozen := self.Head(s, awake)
 		silent := func(name string) bool { return name == frozen }
-		acting := one.Head(s, silent)
+		acting := self.Head(s, silent)
 		require.NotEqual(t, frozen, acting)
-		for _, mate := range one.mates {
+		for _, mate := range self.mates {
 			if mate != frozen {
 				require.Equal(t, acting, all[mate].Head(s, silent))
 			}
 		}
-		for _, column := range one.Columns(s, awake) {
+		for _, column := range self.Columns(s, awake) {
 			require.Contains(t, all[column].Peers(silent), acting)
-			require.Contains(t, all[column].Peers(silent), frozen, "its waking must be noticed")
+			require.Contains(t, all[column].Peers(silent), frozen, "its recovery must be detected")
 		}
 	}
 }
 
-// TestReplacementMovesFew replaces one instance at a time: rows that all changed
-// with each of 290 replacements a day would cost a full refresh every time.
+// TestReplacementMovesFew replaces one instance at a time and checks that few rows change.
+// With 290 replacements a day, a change of all rows would cost a full refresh each time.
 func TestReplacementMovesFew(t *testing.T) {
 	members := fleet(58, 1)
 	before := layouts(members)
--- a/internal/core/peerfleet_test.go
+++ b/internal/core/peerfleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// peerFleet joins nodes by fake links in virtual time: what one sends, the other
-// has at its next tick, unless the link is cut or the other is frozen.
+// peerFleet connects nodes by fake links in virtual time. A message arrives at the next tick of the
+// receiver, unless the link is cut or the receiver is frozen.
 type peerFleet struct {
 	t      *testing.T
 	now    time.Time
@@ -25,9 +25,9 @@
 	inbox  map[string][]Event
 	bytes  map[string]int
 	frozen map[string]bool
-	// cut tells whether two instances can't reach each other.
+	// cut reports whether two instances cannot connect to each other.
 	cut func(a, b string) bool
-	// observe is told each effect, if it is set.
+	// observe is called with each effect if it is set.
 	observe func(name string, effect Effect)
 }
 
@@ -51,7 +51,7 @@
 
 func (f *peerFleet) names() []string { return slices.Sorted(maps.Keys(f.nodes)) }
 
-// run passes virtual time.
+// run advances virtual time by d in ticks.
 func (f *peerFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(TickInterval)
@@ -69,6 +69,7 @@
 	}
 }
 
+// handle passes an event to a node and carries out the resulting effects.
 func (f *peerFleet) handle(name string, e Event) {
 	for _, effect := range f.nodes[name].Handle(f.now, e) {
 		if f.observe != nil {
@@ -88,7 +89,7 @@
 	}
 }
 
-// attemptOf gives a node a request and returns where it is sent.
+// attemptOf passes a request to a node and returns the attempt that the node sends.
 func (f *peerFleet) attemptOf(name string, e RequestArrived) SendAttempt {
 	f.t.Helper()
 	for _, effect := range f.nodes[name].Handle(f.now, e) {
@@ -96,43 +97,45 @@
 			return sent
 		}
 	}
-	f.t.Fatalf("%s sends the request nowhere", name)
+	f.t.Fatalf("%s sends no attempt for the request", name)
 	return SendAttempt{}
 }
 
-// tellFarLoads makes zones tell each other their loads, as where sessions are served.
+// tellFarLoads makes the zones exchange their loads, as in a fleet that serves sessions.
 func (f *peerFleet) tellFarLoads() {
 	for _, n := range f.nodes {
 		n.peers.farLoads = true
 	}
 }
 
+// pair returns the key of the link between two instances.
 func pair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
+// relink establishes and drops links according to the peers that the nodes want.
 func (f *peerFleet) relink() {
-	want := make(map[[2]string]bool)
+	wanted := make(map[[2]string]bool)
 	for name, peers := range f.wanted {
 		for _, p := range peers {
 			if f.nodes[p.Name] != nil && !f.cut(name, p.Name) {
-				want[pair(name, p.Name)] = true
+				wanted[pair(name, p.Name)] = true
 			}
 		}
 	}
 	for _, name := range f.names() {
 		for _, other := range f.names() {
-			is, was := want[pair(name, other)], f.linked[pair(name, other)]
+			now, before := wanted[pair(name, other)], f.linked[pair(name, other)]
 			switch {
-			case is && !was:
+			case now && !before:
 				f.inbox[name] = append(f.inbox[name], PeerConnected{Peer: other, Incarnation: f.nodes[other].settings.Incarnation})
-			case was && !is:
+			case before && !now:
 				f.inbox[name] = append(f.inbox[name], PeerLost{Peer: other})
 			}
 		}
 	}
-	f.linked = want
+	f.linked = wanted
 }
 
-// heard is what a node knows of a backend server's load from itself and its peers.
+// heard returns the load at a backend server that a node knows from its own requests and its peers.
 func heard(n *Node, backend string) int {
 	sum := n.load.Own(backend)
 	for _, p := range n.peers.byName {
@@ -141,7 +144,7 @@
 	return sum
 }
 
-// requireExact checks that the nodes know the sum of the own loads of all in from.
+// requireExact checks that each node in at knows the exact sum of the loads of the nodes in from.
 func (f *peerFleet) requireExact(at, from []string) {
 	f.t.Helper()
 	for i := range 20 {
@@ -156,8 +159,8 @@
 	}
 }
 
-// requireExactAfterTraffic checks that all nodes know all loads eight seconds after the
-// last change of any.
+// requireExactAfterTraffic checks that all nodes know all loads eight seconds after the last change
+// of a load.
 func (f *peerFleet) requireExactAfterTraffic() {
 	f.t.Helper()
 	r := rand.New(rand.NewPCG(1, uint64(len(f.nodes))))
@@ -173,6 +176,7 @@
 	f.requireExact(f.names(), f.names())
 }
 
+// busy adds a number of requests to random backend servers at each node.
 func (f *peerFleet) busy(r *rand.Rand, requests int) {
 	for _, name := range f.names() {
 		for range requests {
--- a/internal/core/prefix/prefix.go
+++ b/internal/core/prefix/prefix.go
@@ -1,101 +1,103 @@
-// Package prefix remembers which backend servers have read which parts of prompts,
-// as far as one instance knows from what it sent.
+// Package prefix tracks which backend servers have which parts of prompts in their caches, based
+// on the requests that one instance has sent.
 //
-// A part that an engine has cached is not read again. The memory here is short and
-// small on purpose: it only has to tell, for a request that goes to an engine which
-// may lack its prompt, where the engine can copy the cached parts from.
+// An engine does not process a part again while the part is in its cache. The index is small and
+// its entries expire soon on purpose: it only has to find, for a request to an engine that may
+// lack parts of the prompt, another engine from which these can be copied.
 package prefix
 
 import "time"
 
 const (
-	// Memory is how long a part is taken for cached after it was last used. Engines
-	// keep parts until others need their room; a minute is far below that, and above
-	// the pauses between two uses that matter.
+	// Memory is the time for which a part is assumed to be cached after its last use. Engines
+	// keep parts until they need the space for others. A minute is far shorter than that, and
+	// longer than the pauses between uses that matter.
 	Memory = time.Minute
-	// MaxParts bounds the parts that are remembered, at about 150 bytes each.
+	// MaxParts bounds the number of tracked parts, at about 150 bytes each.
 	MaxParts = 4096
-	// holders is how many backend servers are remembered for a part. A popular part is
-	// in more caches than that, but one to copy from is enough.
+	// holders is the number of backend servers tracked per part. A popular part is in more
+	// caches than that, but one source to copy from is enough.
 	holders = 3
 )
 
-// Holders remembers who holds the parts of prompts.
+// Holders tracks the backend servers that hold each part.
 type Holders struct {
 	parts map[string]*part
 	sweep time.Time
 }
 
+// part holds the backend servers that have a part in their caches.
 type part struct {
-	// by holds the backend servers, the one that used the part last first.
+	// by holds the backend servers, most recently used first.
 	by [holders]holding
 }
 
+// holding is one backend server and the time of its last use of a part.
 type holding struct {
 	backend string
 	at      time.Time
 }
 
-// New returns an empty memory.
+// New returns an empty index.
 func New() *Holders { return &Holders{parts: make(map[string]*part)} }
 
-// Used notes that a backend server has read a part, or found it in its cache.
-func (h *Holders) Used(id, backend string, now time.Time) {
-	h.expire(now)
-	p := h.parts[id]
+// Used records that a backend server has processed a part or found it in its cache.
+func (x *Holders) Used(id, backend string, now time.Time) {
+	x.expire(now)
+	p := x.parts[id]
 	if p == nil {
-		if len(h.parts) >= MaxParts {
+		if len(x.parts) >= MaxParts {
 			return
 		}
 		p = &part{}
-		h.parts[id] = p
+		x.parts[id] = p
 	}
-	at := 0
-	for at < holders-1 && p.by[at].backend != backend {
-		at++
+	i := 0
+	for i < holders-1 && p.by[i].backend != backend {
+		i++
 	}
-	copy(p.by[1:at+1], p.by[:at])
+	copy(p.by[1:i+1], p.by[:i])
 	p.by[0] = holding{backend: backend, at: now}
 }
 
-// Holds tells whether a backend server is known to hold a part.
-func (h *Holders) Holds(id, backend string, now time.Time) bool {
-	p := h.parts[id]
+// Holds reports whether a backend server is assumed to have a part in its cache.
+func (x *Holders) Holds(id, backend string, now time.Time) bool {
+	p := x.parts[id]
 	if p == nil {
 		return false
 	}
-	for _, by := range p.by {
-		if by.backend == backend {
-			return now.Sub(by.at) <= Memory
+	for _, holder := range p.by {
+		if holder.backend == backend {
+			return now.Sub(holder.at) <= Memory
 		}
 	}
 	return false
 }
 
-// Each calls f for the backend servers that hold a part, the last user first, until
-// f returns false.
-func (h *Holders) Each(id string, now time.Time, f func(backend string) bool) {
-	p := h.parts[id]
+// Each calls f for the backend servers that hold a part, most recently used first, until f returns
+// false.
+func (x *Holders) Each(id string, now time.Time, f func(backend string) bool) {
+	p := x.parts[id]
 	if p == nil {
 		return
 	}
-	for _, by := range p.by {
-		if by.backend == "" || now.Sub(by.at) > Memory {
+	for _, holder := range p.by {
+		if holder.backend == "" || now.Sub(holder.at) > Memory {
 			return
 		}
-		if !f(by.backend) {
+		if !f(holder.backend) {
 			return
 		}
 	}
 }
 
-// Forget drops a backend server whose cache is gone.
-func (h *Holders) Forget(backend string) {
-	for _, p := range h.parts {
+// Forget removes a backend server whose cache has been lost.
+func (x *Holders) Forget(backend string) {
+	for _, p := range x.parts {
 		kept := 0
-		for _, by := range p.by {
-			if by.backend != backend {
-				p.by[kept] = by
+		for _, holder := range p.by {
+			if holder.backend != backend {
+				p.by[kept] = holder
 				kept++
 			}
 		}
@@ -103,15 +105,15 @@
 	}
 }
 
-// expire drops the parts that nobody has used for long, now and then.
-func (h *Holders) expire(now time.Time) {
-	if now.Before(h.sweep) {
+// expire periodically removes the parts that were not used within Memory.
+func (x *Holders) expire(now time.Time) {
+	if now.Before(x.sweep) {
 		return
 	}
-	h.sweep = now.Add(Memory / 4)
-	for id, p := range h.parts {
+	x.sweep = now.Add(Memory / 4)
+	for id, p := range x.parts {
 		if now.Sub(p.by[0].at) > Memory {
-			delete(h.parts, id)
+			delete(x.parts, id)
 		}
 	}
 }
--- a/internal/core/prefix/prefix_test.go
+++ b/internal/core/prefix/prefix_test.go
@@ -21,6 +21,7 @@
 	return list
 }
 
+// A part keeps only its most recent users, most recent first, so that popular parts stay small.
 func TestTheLastUsersAreRemembered(t *testing.T) {
 	h := prefix.New()
 	for i, backend := range []string{"a", "b", "a", "c", "d"} {
@@ -35,16 +36,17 @@
 	require.Equal(t, []string{"d", "a"}, holders(h, "p", now))
 }
 
+// Parts must expire after Memory and be limited to MaxParts, or the index would grow without bound.
 func TestPartsAreForgotten(t *testing.T) {
 	h := prefix.New()
 	h.Used("p", "a", start)
-	late := start.Add(prefix.Memory + time.Second)
-	require.False(t, h.Holds("p", "a", late))
-	require.Empty(t, holders(h, "p", late))
+	expired := start.Add(prefix.Memory + time.Second)
+	require.False(t, h.Holds("p", "a", expired))
+	require.Empty(t, holders(h, "p", expired))
 	for i := range 2 * prefix.MaxParts {
 		h.Used(fmt.Sprint(i), "a", start)
 	}
 	require.False(t, h.Holds(fmt.Sprint(2*prefix.MaxParts-1), "a", start), "over the bound")
-	h.Used("new", "a", late)
-	require.True(t, h.Holds("new", "a", late), "room again once the others are old")
+	h.Used("new", "a", expired)
+	require.True(t, h.Holds("new", "a", expired), "there is room once the other parts have expired")
 }
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -1,14 +1,15 @@
-// Package rendezvous ranks names for a key so that every instance that knows the
-// same names finds the same order, and a name that leaves moves only what it had.
+// Package rendezvous implements rendezvous hashing: it ranks names for a key so that all instances
+// with the same names compute the same order, and removing a name moves only the keys assigned to
+// it.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Hash gives the hash of a name or key. All instances must use the same one, or
-// they disagree about every ranking.
+// Hash returns the hash of a name or key. All instances must use the same function, or their
+// rankings differ.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// HashOf gives the hash of a key of two parts, without joining them first.
+// HashOf returns the hash of a key of two parts without concatenating them.
 func HashOf(first, second string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -18,11 +19,11 @@
 	return d.Sum64()
 }
 
-// Unit spreads hashes evenly over the numbers from 0 to under 1.
+// Unit maps a hash to a number in [0, 1), so that hashes are spread evenly.
 func Unit(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// Score is the weight of a name for a key, given both hashes; the highest wins.
-// It depends on nothing else, which is why a leaving name moves only its own keys.
+// Score returns the weight of a name for a key, given both hashes; the highest weight wins. The
+// weight depends on nothing else, so removing a name moves only its own keys.
 func Score(key, name uint64) uint64 {
 	x := key ^ (name * 0x9e3779b97f4a7c15)
 	x ^= x >> 30
@@ -32,8 +33,8 @@
 	return x ^ (x >> 31)
 }
 
-// Top returns up to k of the names, highest ranked first. Equal scores go to the
-// lesser name.
+// Top returns up to k of the names, highest ranked first. Of names with equal scores, the
+// lexically smaller one ranks higher.
 func Top(key uint64, names []string, k int) []string {
 	top := make([]string, 0, k+1)
 	scores := make([]uint64, 0, k+1)
@@ -52,6 +53,7 @@
 	return top
 }
 
+// above reports whether a name ranks above another.
 func above(score uint64, name string, otherScore uint64, other string) bool {
 	if score != otherScore {
 		return score > otherScore
@@ -59,6 +61,7 @@
 	return name < other
 }
 
+// insert inserts v at index i and truncates the list to k elements.
 func insert[T any](list []T, i int, v T, k int) []T {
 	list = append(list, v)
 	copy(list[i+1:], list[i:])
--- a/internal/core/sums/lists.go
+++ b/internal/core/sums/lists.go
@@ -7,16 +7,16 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/load"
 )
 
-// maxTold bounds the backend servers that are remembered of one list of a peer.
+// maxTold bounds the number of backend servers stored for each list received from a peer.
 const maxTold = 8192
 
-// Lists are what one instance tells another of loads, each by backend server.
+// Lists holds the loads that one instance sends to another, keyed by backend server.
 type Lists struct {
-	// Own are the teller's own requests.
+	// Own holds the sender's own requests.
 	Own map[string]int
-	// Rows are the sums of the teller's row or, for a peer in another zone, of its zone.
+	// Rows holds the sums of the sender's row or, for a peer in another zone, of its zone.
 	Rows map[string]int
-	// Totals are the teller's sums without what the peer knows better.
+	// Totals holds the sender's totals without the loads that the peer gets from elsewhere.
 	Totals map[string]int
 }
 
@@ -25,57 +25,60 @@
 	return Lists{Own: make(map[string]int), Rows: make(map[string]int), Totals: make(map[string]int)}
 }
 
-// Sum is the load at a backend server by all three lists.
+// Sum returns the load at a backend server according to all three lists.
 func (l Lists) Sum(backend string) int {
 	return l.Own[backend] + l.Rows[backend] + l.Totals[backend]
 }
 
-// Changes are the entries of the lists that differ from what a peer was told.
+// Changes holds the entries of the lists that differ from those last sent to a peer.
 type Changes struct {
 	Own, Rows, Totals []load.Count
-	// Shed counts the entries that were left out for want of bytes.
+	// Shed is the number of entries left out to save bytes.
 	Shed int
 }
 
-// Change compares the lists with what a peer was told, notes them as told, and returns
-// what differs. Full returns all of it; sparing leaves out what differs little.
-func (l Lists) Change(told Lists, full, sparing bool) Changes {
+// Change compares the lists with those last sent to a peer, updates sent, and returns the
+// differences. If full is set, it returns all entries. If skipSmall is set, it leaves out
+// small changes.
+func (l Lists) Change(sent Lists, full, skipSmall bool) Changes {
 	var c Changes
-	c.Own = c.differ(l.Own, told.Own, full, sparing)
-	c.Rows = c.differ(l.Rows, told.Rows, full, sparing)
-	c.Totals = c.differ(l.Totals, told.Totals, full, sparing)
+	c.Own = c.differ(l.Own, sent.Own, full, skipSmall)
+	c.Rows = c.differ(l.Rows, sent.Rows, full, skipSmall)
+	c.Totals = c.differ(l.Totals, sent.Totals, full, skipSmall)
 	return c
 }
 
-func (c *Changes) differ(now, told map[string]int, full, sparing bool) []load.Count {
+func (c *Changes) differ(now, sent map[string]int, full, skipSmall bool) []load.Count {
 	if full {
-		clear(told)
+		clear(sent)
 	}
 	var out []load.Count
-	for _, backend := range union(now, told) {
-		v, old := now[backend], told[backend]
+	for _, backend := range union(now, sent) {
+		v, old := now[backend], sent[backend]
 		if v == old {
 			continue
 		}
-		if sparing && !full && little(v, old) {
+		if skipSmall && !full && little(v, old) {
 			c.Shed++
 			continue
 		}
 		out = append(out, load.Count{Backend: backend, InFlight: v})
 		if v == 0 {
-			delete(told, backend)
+			delete(sent, backend)
 		} else {
-			told[backend] = v
+			sent[backend] = v
 		}
 	}
 	return out
 }
 
-// little tells whether a change is under a tenth of the load.
+// little reports whether a change is at most a tenth of the load. A change to zero is never
+// little.
 func little(v, old int) bool {
 	return v != 0 && max(v-old, old-v)*10 <= max(v, old)
 }
 
+// union returns the keys of both maps, sorted.
 func union(a, b map[string]int) []string {
 	names := slices.Collect(maps.Keys(a))
 	for name := range b {
@@ -87,23 +90,25 @@
 	return names
 }
 
-// Linger keeps the sums that are no longer told a peer as they were told, until whoever
-// tells them now has gathered its own.
-func (l Lists) Linger(told Lists) {
-	keep(l.Rows, told.Rows)
-	keep(l.Totals, told.Totals)
+// Linger keeps the sums that were last sent to a peer but that this instance no longer
+// computes. It is used after a change of the layout, until the new sender of these sums has
+// collected its own.
+func (l Lists) Linger(sent Lists) {
+	keep(l.Rows, sent.Rows)
+	keep(l.Totals, sent.Totals)
 }
 
-func keep(now, told map[string]int) {
-	for backend, v := range told {
+// keep copies the entries of sent that now lacks.
+func keep(now, sent map[string]int) {
+	for backend, v := range sent {
 		if _, ok := now[backend]; !ok {
 			now[backend] = v
 		}
 	}
 }
 
-// Take merges what a peer told and returns the new sums at the backend servers that it
-// touched, sorted by name. Full changes replace what was told before.
+// Take merges changes received from a peer and returns the new sums at the backend servers
+// concerned, sorted by name. If full is set, the changes replace all earlier entries.
 func (l Lists) Take(c Changes, full bool) []load.Count {
 	var touched []string
 	touched = merge(touched, l.Own, c.Own, full)
@@ -118,7 +123,7 @@
 	return counts
 }
 
-// merge takes changes into a list and adds the backend servers that it touched.
+// merge applies changes to a list and appends the backend servers concerned to touched.
 func merge(touched []string, list map[string]int, changes []load.Count, full bool) []string {
 	if full {
 		touched = slices.AppendSeq(touched, maps.Keys(list))
--- a/internal/core/sums/sums.go
+++ b/internal/core/sums/sums.go
@@ -1,11 +1,11 @@
-// Package sums decides which loads an instance tells each of its peers, and adds up what
-// it hears from them, by the rules of the layout.
+// Package sums computes which loads an instance sends to each of its peers and adds up the
+// loads that it receives from them, according to the layout.
 //
-// In a full mesh each tells all others its own. In a larger fleet a load takes up to four
-// steps: an instance tells its mate that heads the backend server's slice; the heads of
-// the slice in the zone's rows tell each other the sums of their rows; the heads in
-// different zones tell each other the sums of their zones; and each head tells its mates
-// the total. The steps use lists of their own, so that no sum is ever added up twice.
+// In a full mesh each instance sends its own loads to all others. In a larger fleet a load
+// takes up to four steps: an instance sends it to the row peer that aggregates the backend
+// server's shard; the shard's aggregators in the zone's rows exchange their row sums; the
+// aggregators in different zones exchange their zone sums; and each aggregator sends the
+// totals to its row peers. The steps use separate lists, so that no load is counted twice.
 package sums
 
 import (
@@ -15,30 +15,31 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/mesh"
 )
 
-// Exchange is one instance's part in adding up the fleet's loads.
+// Exchange computes the loads that one instance sends to its peers.
 type Exchange struct {
 	self   string
 	layout *mesh.Layout
-	// heads are the acting heads of this row's slices; columns and counterparts are those
-	// of the same slices in other rows and zones, for the slices that this instance heads.
+	// heads holds the acting aggregator of each shard in this row. For the shards that this
+	// instance aggregates, columns and counterparts hold the aggregators in the other rows
+	// and in the other zones.
 	heads        []string
 	columns      [][]string
 	counterparts []mesh.Counterparts
 	// own calls a function for each backend server with requests of this instance.
 	own func(f func(backend string, inFlight int))
-	// heard gives what a peer has told.
+	// heard returns the loads received from a peer.
 	heard func(peer string) Lists
 }
 
-// New returns the exchange of the instance of a name, which reads its own requests and
-// what its peers have told through two functions.
-func New(self string, own func(f func(backend string, inFlight int)), heard func(peer string) Lists) *Exchange {
-	return &Exchange{self: self, own: own, heard: heard}
+// New returns the exchange of the instance named self. The function own lists the instance's
+// own requests, and received returns the loads received from a peer.
+func New(self string, own func(f func(backend string, inFlight int)), received func(peer string) Lists) *Exchange {
+	return &Exchange{self: self, own: own, heard: received}
 }
 
-// Lay takes the layout, and who of it is silent, anew. Far says that loads of other zones
-// are needed, as they are where requests go to the backend servers of all zones.
-func (e *Exchange) Lay(layout *mesh.Layout, silent func(string) bool, far bool) {
+// Lay sets the layout and the predicate for silent instances. If crossZone is set, the zones
+// exchange their loads, which is necessary if requests go to backend servers of all zones.
+func (e *Exchange) Lay(layout *mesh.Layout, silent func(string) bool, crossZone bool) {
 	count := layout.Slices()
 	e.layout = layout
 	e.heads = make([]string, count)
@@ -50,16 +51,16 @@
 			continue
 		}
 		e.columns[s] = layout.Columns(s, silent)
-		if far {
+		if crossZone {
 			e.counterparts[s] = layout.Counterparts(s, silent)
 		}
 	}
 }
 
-// Head is the instance of this row that acts as the head of a backend server's slice.
+// Head returns the acting aggregator of a backend server's shard in this row.
 func (e *Exchange) Head(backend string) string { return e.heads[e.layout.Slice(backend)] }
 
-// For gives what a peer of the layout must hear.
+// For returns the loads to send to a peer of the layout.
 func (e *Exchange) For(peer string) Lists {
 	out := NewLists()
 	switch {
@@ -69,7 +70,7 @@
 		out.Rows = e.rowSumsFor(peer)
 		maps.Copy(out.Rows, e.zoneSumsFor(peer))
 	case e.layout.Rows():
-		out.Own = e.ownIn(func(slice int) bool { return e.heads[slice] == peer })
+		out.Own = e.ownIn(func(shard int) bool { return e.heads[shard] == peer })
 		out.Totals = e.totalsFor(peer)
 	default:
 		out.Own = e.ownIn(everySlice)
@@ -78,78 +79,80 @@
 	return out
 }
 
-// headsSlice tells whether this instance adds up a slice.
-func (e *Exchange) headsSlice(slice int) bool { return e.heads[slice] == e.self }
+// headsSlice reports whether this instance aggregates a shard.
+func (e *Exchange) headsSlice(shard int) bool { return e.heads[shard] == e.self }
 
 func everySlice(int) bool { return true }
 
-// ownIn are this instance's own requests at the backend servers of some slices.
-func (e *Exchange) ownIn(inSlice func(int) bool) map[string]int {
+// ownIn returns this instance's own requests at the backend servers of some shards.
+func (e *Exchange) ownIn(inShard func(int) bool) map[string]int {
 	out := make(map[string]int)
 	e.own(func(backend string, inFlight int) {
-		if !e.layout.Apart() || inSlice(e.layout.Slice(backend)) {
+		if !e.layout.Apart() || inShard(e.layout.Slice(backend)) {
 			out[backend] = inFlight
 		}
 	})
 	return out
 }
 
-// rowSumsFor adds up the row's loads in the slices that a peer heads in another row.
+// rowSumsFor returns the row sums of the shards that a peer aggregates in another row.
 func (e *Exchange) rowSumsFor(peer string) map[string]int {
-	return e.rowSums(func(slice int) bool { return slices.Contains(e.columns[slice], peer) })
+	return e.rowSums(func(shard int) bool { return slices.Contains(e.columns[shard], peer) })
 }
 
-// rowSums adds up the row's loads in some slices.
-func (e *Exchange) rowSums(inSlice func(int) bool) map[string]int {
-	out := e.ownIn(inSlice)
-	for _, mate := range e.layout.Mates() {
-		e.add(out, e.heard(mate).Own, inSlice)
+// rowSums returns the sums of the row's loads in some shards.
+func (e *Exchange) rowSums(inShard func(int) bool) map[string]int {
+	out := e.ownIn(inShard)
+	for _, peer := range e.layout.Mates() {
+		e.add(out, e.heard(peer).Own, inShard)
 	}
 	return out
 }
 
-// zoneSumsFor adds up the zone's loads in the slices that a peer in another zone hears of
-// from this instance.
+// zoneSumsFor returns the zone sums of the shards for which a peer in another zone depends on
+// this instance.
 func (e *Exchange) zoneSumsFor(peer string) map[string]int {
-	told := func(slice int) bool { return slices.Contains(e.counterparts[slice].Told, peer) }
-	out := e.rowSums(told)
-	for slice, columns := range e.columns {
-		if told(slice) {
-			e.addSums(out, slice, columns)
+	inShard := func(shard int) bool { return slices.Contains(e.counterparts[shard].Told, peer) }
+	out := e.rowSums(inShard)
+	for shard, columns := range e.columns {
+		if inShard(shard) {
+			e.addSums(out, shard, columns)
 		}
 	}
 	return out
 }
 
-// totalsFor adds up the loads in this instance's slices that a mate hears of from nobody
-// else: not its own, nor in a zone without rows those of the zone.
-func (e *Exchange) totalsFor(mate string) map[string]int {
+// totalsFor returns the sums of the loads in this instance's shards that a row peer does not
+// get elsewhere. They exclude the peer's own loads and, in a zone with a single row, the loads
+// of the zone.
+func (e *Exchange) totalsFor(peer string) map[string]int {
 	out := make(map[string]int)
 	if e.layout.Rows() {
 		out = e.ownIn(e.headsSlice)
 		for _, other := range e.layout.Mates() {
-			if other != mate {
+			if other != peer {
 				e.add(out, e.heard(other).Own, e.headsSlice)
 			}
 		}
 	}
-	for slice := range e.heads {
-		e.addSums(out, slice, e.columns[slice])
-		e.addSums(out, slice, e.counterparts[slice].Heard)
+	for shard := range e.heads {
+		e.addSums(out, shard, e.columns[shard])
+		e.addSums(out, shard, e.counterparts[shard].Heard)
 	}
 	return out
 }
 
-// addSums adds what other heads of a slice have added up.
-func (e *Exchange) addSums(sum map[string]int, slice int, heads []string) {
-	for _, head := range heads {
-		e.add(sum, e.heard(head).Rows, func(s int) bool { return s == slice })
+// addSums adds the row and zone sums received from other aggregators of a shard.
+func (e *Exchange) addSums(sum map[string]int, shard int, aggregators []string) {
+	for _, aggregator := range aggregators {
+		e.add(sum, e.heard(aggregator).Rows, func(s int) bool { return s == shard })
 	}
 }
 
-func (e *Exchange) add(sum, heard map[string]int, inSlice func(int) bool) {
-	for backend, v := range heard {
-		if inSlice(e.layout.Slice(backend)) {
+// add adds the loads in some shards to sum.
+func (e *Exchange) add(sum, loads map[string]int, inShard func(int) bool) {
+	for backend, v := range loads {
+		if inShard(e.layout.Slice(backend)) {
 			sum[backend] += v
 		}
 	}
--- a/internal/core/sums/sums_test.go
+++ b/internal/core/sums/sums_test.go
@@ -16,7 +16,7 @@
 
 func awake(string) bool { return false }
 
-// fleet is some instances that tell each other all of their lists, round by round.
+// fleet simulates instances that exchange their full lists in rounds.
 type fleet struct {
 	members   []mesh.Member
 	exchanges map[string]*Exchange
@@ -25,7 +25,7 @@
 	heard     map[string]map[string]Lists
 }
 
-func newFleet(instances, zones int, far bool) *fleet {
+func newFleet(instances, zones int, crossZone bool) *fleet {
 	f := &fleet{
 		exchanges: make(map[string]*Exchange), layouts: make(map[string]*mesh.Layout),
 		own: make(map[string]map[string]int), heard: make(map[string]map[string]Lists),
@@ -38,33 +38,33 @@
 		f.own[m.Name] = map[string]int{fmt.Sprint("engine-", random.IntN(engines)): 1 + random.IntN(3)}
 		f.heard[m.Name] = make(map[string]Lists)
 		f.layouts[m.Name] = mesh.New(m, f.members)
-		own := func(tell func(string, int)) {
+		own := func(yield func(string, int)) {
 			for backend, inFlight := range f.own[m.Name] {
-				tell(backend, inFlight)
+				yield(backend, inFlight)
 			}
 		}
-		heard := func(peer string) Lists { return f.heard[m.Name][peer] }
-		f.exchanges[m.Name] = New(m.Name, own, heard)
-		f.exchanges[m.Name].Lay(f.layouts[m.Name], awake, far)
+		received := func(peer string) Lists { return f.heard[m.Name][peer] }
+		f.exchanges[m.Name] = New(m.Name, own, received)
+		f.exchanges[m.Name].Lay(f.layouts[m.Name], awake, crossZone)
 	}
 	return f
 }
 
-// round lets everybody tell all of their peers.
+// round makes every instance send its loads to all of its peers.
 func (f *fleet) round() {
-	told := make(map[string]map[string]Lists)
+	received := make(map[string]map[string]Lists)
 	for _, m := range f.members {
-		told[m.Name] = make(map[string]Lists)
+		received[m.Name] = make(map[string]Lists)
 	}
 	for _, m := range f.members {
 		for _, peer := range f.layouts[m.Name].Peers(awake) {
-			told[peer][m.Name] = f.exchanges[m.Name].For(peer)
+			received[peer][m.Name] = f.exchanges[m.Name].For(peer)
 		}
 	}
-	f.heard = told
+	f.heard = received
 }
 
-// known is what an instance knows of a backend server's load.
+// known returns the load at a backend server as one instance knows it.
 func (f *fleet) known(name, backend string) int {
 	sum := f.own[name][backend]
 	for _, lists := range f.heard[name] {
@@ -73,7 +73,7 @@
 	return sum
 }
 
-// total is the load that the instances of some zones have at a backend server.
+// total returns the load of the instances of some zones at a backend server.
 func (f *fleet) total(backend string, counts func(zone string) bool) int {
 	sum := 0
 	for _, m := range f.members {
@@ -84,31 +84,33 @@
 	return sum
 }
 
-// A load that is added up twice makes a server look full, one that is left out idle.
+// A load that is counted twice makes a backend server look full; one that is left out makes it
+// look idle.
 func TestEachLoadReachesEachInstanceOnce(t *testing.T) {
 	const steps = 4
 	for _, size := range []struct{ instances, zones int }{{8, 3}, {11, 3}, {24, 5}, {30, 1}, {80, 4}} {
-		for _, far := range []bool{false, true} {
-			f := newFleet(size.instances, size.zones, far)
+		for _, crossZone := range []bool{false, true} {
+			f := newFleet(size.instances, size.zones, crossZone)
 			for range steps {
 				f.round()
 			}
 			for _, m := range f.members {
-				apart := f.layouts[m.Name].Apart()
+				hierarchical := f.layouts[m.Name].Apart()
 				for i := range engines {
 					backend := fmt.Sprint("engine-", i)
-					want := f.total(backend, func(zone string) bool { return far || !apart || zone == m.Zone })
-					require.Equal(t, want, f.known(m.Name, backend), "%s at %s, %v, far %t", backend, m.Name, size, far)
+					want := f.total(backend, func(zone string) bool { return crossZone || !hierarchical || zone == m.Zone })
+					require.Equal(t, want, f.known(m.Name, backend), "%s at %s, %v, cross-zone %t", backend, m.Name, size, crossZone)
 				}
 			}
 		}
 	}
 }
 
-// A digest that says less than what changed would leave a peer with a load that has ended.
+// The receiver's lists must equal the sender's after each digest. A digest that omits a change
+// would leave the peer with a load that has ended.
 func TestWhatWasToldIsWhatWasHeard(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	told, heard := NewLists(), NewLists()
+	sent, received := NewLists(), NewLists()
 	for range 200 {
 		now := NewLists()
 		for _, list := range []map[string]int{now.Own, now.Rows, now.Totals} {
@@ -117,29 +119,30 @@
 			}
 		}
 		full := random.IntN(10) == 0
-		counts := heard.Take(now.Change(told, full, false), full)
-		require.Equal(t, now, heard)
+		counts := received.Take(now.Change(sent, full, false), full)
+		require.Equal(t, now, received)
 		for _, c := range counts {
 			require.Equal(t, now.Sum(c.Backend), c.InFlight)
 		}
 	}
 }
 
-// Where bytes are short a little change is left out until it has grown, and never an end.
+// While the byte budget is short, a small change is left out until it has grown. The end of a
+// load is always sent.
 func TestLittleChangesAreLeftOutWhereBytesAreShort(t *testing.T) {
-	told := NewLists()
-	tell := func(inFlight int) Changes {
+	sent := NewLists()
+	send := func(inFlight int) Changes {
 		now := NewLists()
 		if inFlight > 0 {
 			now.Own["engine-1"] = inFlight
 		}
-		return now.Change(told, false, true)
+		return now.Change(sent, false, true)
 	}
-	require.Len(t, tell(20).Own, 1)
-	c := tell(22)
+	require.Len(t, send(20).Own, 1)
+	c := send(22)
 	require.Empty(t, c.Own)
 	require.Equal(t, 1, c.Shed)
-	require.Len(t, tell(23).Own, 1, "grown to more than a tenth since it was told")
-	require.Equal(t, 0, tell(0).Own[0].InFlight)
-	require.Empty(t, slices.Collect(maps.Keys(told.Own)))
+	require.Len(t, send(23).Own, 1, "grown to more than a tenth since it was sent")
+	require.Equal(t, 0, send(0).Own[0].InFlight)
+	require.Empty(t, slices.Collect(maps.Keys(sent.Own)))
 }
