--- a/cmd/ebonyctl/status.go
+++ b/cmd/ebonyctl/status.go
@@ -117,8 +117,8 @@
 			continue
 		}
 		for _, p := range a.Status.Peers {
-			if p.Heard.After(latest[p.Name].Heard) {
-				latest[p.Name] = heard{PeerStatus: p, Silent: a.Status.At.Sub(p.Heard) > silentAfter}
+			if p.LastDigestAt.After(latest[p.Name].LastDigestAt) {
+				latest[p.Name] = heard{PeerStatus: p, Silent: a.Status.At.Sub(p.LastDigestAt) > silentAfter}
 			}
 		}
 	}
@@ -232,10 +232,10 @@
 	switch {
 	case !p.Silent:
 		return "heard of, not asked"
-	case p.Heard.IsZero():
+	case p.LastDigestAt.IsZero():
 		return "listed, never heard of"
 	default:
-		return "silent since " + p.Heard.Format(time.RFC3339)
+		return "silent since " + p.LastDigestAt.Format(time.RFC3339)
 	}
 }
 
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -12,7 +12,7 @@
 // refusal is the reason why a request is refused and the time after which its caller may
 // retry.
 type refusal struct {
-	why        reason.Reason
+	reason     reason.Reason
 	retryAfter time.Duration
 }
 
@@ -60,31 +60,31 @@
 	return nil
 }
 
-func (n *Node) refusal(r *request, c *admission.Controller, room admission.Room, why reason.Reason) *refusal {
-	return &refusal{why: why, retryAfter: c.RetryAfter(room, r.soonest(), n.now, n.random)}
+func (n *Node) refusal(r *request, c *admission.Controller, room admission.Utilization, why reason.Reason) *refusal {
+	return &refusal{reason: why, retryAfter: c.RetryAfter(room, r.saturatedRetryAfter(), n.now, n.random)}
 }
 
 // room returns the load and the capacity of a service as far as this instance knows them. A
 // service without a backend server has no limit here: placement refuses its requests with a
 // more specific reason.
-func (n *Node) room(service *config.Service) admission.Room {
+func (n *Node) room(service *config.Service) admission.Utilization {
 	p := n.pool(service.Name)
-	load, count := p.reachable()
+	load, count := p.reachableLoad()
 	if count == 0 {
 		return admission.Unlimited
 	}
-	return admission.Room{Load: load, Capacity: p.capacity(count)}
+	return admission.Utilization{Load: load, Capacity: p.capacity(count)}
 }
 
 // fill returns the load and the capacity on which a refusal for lack of capacity was based,
 // or the zero value for any other reason.
-func (n *Node) fill(service string, why reason.Reason) Fill {
+func (n *Node) fill(service string, why reason.Reason) Utilization {
 	if why != reason.Saturated && why != reason.CustomerShare {
-		return Fill{}
+		return Utilization{}
 	}
 	p := n.pool(service)
-	load, servers := p.reachable()
-	return Fill{Load: load, Capacity: p.capacity(servers), Servers: servers}
+	load, servers := p.reachableLoad()
+	return Utilization{Load: load, Capacity: p.capacity(servers), Servers: servers}
 }
 
 // admissionEnded records the end of an admitted request. It is called once for each.
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -33,24 +33,24 @@
 )
 
 const (
-	// softShare is the fraction of the capacity above which shares are enforced. The rest
-	// is for customers below their share, while those above it drain.
-	softShare = 0.9
+	// softLimitFraction is the fraction of the capacity above which shares are enforced.
+	// The rest is for customers below their share, while those above it drain.
+	softLimitFraction = 0.9
 	// levelInterval is how often the water level is computed.
 	levelInterval = 100 * time.Millisecond
-	// nearSoft is the fraction of the soft limit above which the water level is computed,
-	// so that it is available when shares begin to be enforced.
-	nearSoft = 0.9
-	// leastWeight prevents a division by zero.
-	leastWeight = 1e-3
-	// demandMemory is how long a refusal counts as demand.
-	demandMemory = 2 * time.Second
-	// levelRounds is the number of bisection steps for the water level. Each step halves
-	// the error; after 32 it is less than one request at any load.
-	levelRounds = 32
-	// leastDrain is the drain rate assumed while no request has ended yet, in requests a
+	// levelUpdateFraction is the fraction of the soft limit above which the water level is
+	// computed, so that it is available when shares begin to be enforced.
+	levelUpdateFraction = 0.9
+	// minWeight prevents a division by zero.
+	minWeight = 1e-3
+	// refusalTTL is how long a refusal counts as demand.
+	refusalTTL = 2 * time.Second
+	// levelIterations is the number of bisection steps for the water level. Each step
+	// halves the error; after 32 it is less than one request at any load.
+	levelIterations = 32
+	// minDrainRate is the drain rate assumed while no request has ended yet, in requests a
 	// second.
-	leastDrain = 0.1
+	minDrainRate = 0.1
 	// drainWindow is the period over which the drain rate is measured.
 	drainWindow = 5 * time.Second
 )
@@ -58,8 +58,8 @@
 // MaxRetryAfter is the longest delay that RetryAfter returns.
 const MaxRetryAfter = 30 * time.Second
 
-// Room is the load and the capacity of a service, as known to placement.
-type Room struct {
+// Utilization is the load and the capacity of a service, as known to placement.
+type Utilization struct {
 	// Load is the estimated number of the fleet's requests in progress.
 	Load float64
 	// Capacity is the sum of the backend servers' capacities.
@@ -67,13 +67,13 @@
 }
 
 // Unlimited is the value for a service without admission control.
-var Unlimited = Room{Capacity: math.Inf(1)}
+var Unlimited = Utilization{Capacity: math.Inf(1)}
 
-func (u Room) soft() float64 { return softShare * u.Capacity }
+func (u Utilization) softLimit() float64 { return softLimitFraction * u.Capacity }
 
 // Controller tracks the customers of one service that have requests in progress at this
 // instance or were refused recently. Its memory is bounded by the requests in progress and
-// by maxRefused.
+// by maxRefusedCustomers.
 type Controller struct {
 	customers map[string]*customer
 	// list holds the same customers in an order that depends only on the sequence of
@@ -86,10 +86,10 @@
 	// each unit of weight permits.
 	level    float64
 	nextTick time.Time
-	drain    drain
-	// refusers is the number of customers with refusals, and refusals the number of these
-	// refusals.
-	refusers, refusals int
+	drain    drainMeter
+	// refusedCustomers is the number of customers with refusals, and refusals the number
+	// of these refusals.
+	refusedCustomers, refusals int
 }
 
 type customer struct {
@@ -103,8 +103,8 @@
 	refusedAt time.Time
 }
 
-// maxRefused limits the customers that are tracked only because of refusals.
-const maxRefused = 1024
+// maxRefusedCustomers limits the customers that are tracked only because of refusals.
+const maxRefusedCustomers = 1024
 
 // NewController returns the controller of one service.
 func NewController() *Controller {
@@ -127,9 +127,9 @@
 
 // Admit decides on one request of a customer. An admitted request counts as in progress
 // until Ended is called for it.
-func (c *Controller) Admit(name string, weight float64, util Room, now time.Time, random *rand.Rand) Verdict {
-	if util.Load+1 > util.soft() {
-		if v := c.squeeze(name, weight, util, now, random); v != Admitted {
+func (c *Controller) Admit(name string, weight float64, util Utilization, now time.Time, random *rand.Rand) Verdict {
+	if util.Load+1 > util.softLimit() {
+		if v := c.admitSaturated(name, weight, util, now, random); v != Admitted {
 			return v
 		}
 	}
@@ -139,8 +139,8 @@
 	return Admitted
 }
 
-// squeeze decides on one request of a saturated service.
-func (c *Controller) squeeze(name string, weight float64, util Room, now time.Time, random *rand.Rand) Verdict {
+// admitSaturated decides on one request of a saturated service.
+func (c *Controller) admitSaturated(name string, weight float64, util Utilization, now time.Time, random *rand.Rand) Verdict {
 	if util.Load+1 > util.Capacity {
 		c.countRefused(name, weight, now)
 		return Saturated
@@ -148,7 +148,7 @@
 	// The share at this instance is rarely an integer. Randomized rounding makes the
 	// fleet's total match the share, and the minimum of 1 lets every customer have one
 	// request.
-	allowed := max(1, max(weight, leastWeight)*c.levelNow(util)+random.Float64())
+	allowed := max(1, max(weight, minWeight)*c.currentLevel(util)+random.Float64())
 	if float64(c.InFlight(name)+1) > allowed {
 		c.countRefused(name, weight, now)
 		return OverShare
@@ -156,19 +156,19 @@
 	return Admitted
 }
 
-// levelNow returns the water level at saturation. A burst can saturate the service between
-// two ticks, before a level has been computed. Until then, the level is the equal share
-// per unit of weight, which no customer with a small demand exceeds.
-func (c *Controller) levelNow(util Room) float64 {
+// currentLevel returns the water level at saturation. A burst can saturate the service
+// between two ticks, before a level has been computed. Until then, the level is the equal
+// share per unit of weight, which no customer with a small demand exceeds.
+func (c *Controller) currentLevel(util Utilization) float64 {
 	if !math.IsInf(c.level, 1) {
 		return c.level
 	}
-	return c.part(util) / max(c.weights, leastWeight)
+	return c.localLimit(util) / max(c.weights, minWeight)
 }
 
-// part returns this instance's part of the service's soft limit.
-func (c *Controller) part(util Room) float64 {
-	return float64(c.inFlight) * util.soft() / max(1, util.Load)
+// localLimit returns this instance's part of the service's soft limit.
+func (c *Controller) localLimit(util Utilization) float64 {
+	return float64(c.inFlight) * util.softLimit() / max(1, util.Load)
 }
 
 func (c *Controller) customer(name string, weight float64) *customer {
@@ -179,13 +179,13 @@
 		c.list = append(c.list, cu)
 	}
 	c.weights -= cu.weight
-	cu.weight = max(weight, leastWeight)
+	cu.weight = max(weight, minWeight)
 	c.weights += cu.weight
 	return cu
 }
 
-// forget removes a customer without requests in progress or refusals.
-func (c *Controller) forget(cu *customer) {
+// removeIfIdle removes a customer without requests in progress or refusals.
+func (c *Controller) removeIfIdle(cu *customer) {
 	if cu.inFlight > 0 || cu.refused > 0 {
 		return
 	}
@@ -200,12 +200,12 @@
 }
 
 func (c *Controller) countRefused(name string, weight float64, now time.Time) {
-	if c.customers[name] == nil && c.refusers >= maxRefused {
+	if c.customers[name] == nil && c.refusedCustomers >= maxRefusedCustomers {
 		return
 	}
 	cu := c.customer(name, weight)
 	if cu.refused == 0 {
-		c.refusers++
+		c.refusedCustomers++
 		cu.refusedAt = now
 	}
 	cu.refused++
@@ -221,24 +221,24 @@
 	cu.inFlight--
 	c.inFlight--
 	c.drain.add(now)
-	c.forget(cu)
+	c.removeIfIdle(cu)
 }
 
 // Tick recomputes the water level: the level at which the customers' demands, each capped
 // at its weight times the level, add up to this instance's part of the service's soft
 // limit. Its running time is linear in the number of tracked customers, and admission
 // decisions only read its result.
-func (c *Controller) Tick(util Room, now time.Time) {
+func (c *Controller) Tick(util Utilization, now time.Time) {
 	if now.Before(c.nextTick) {
 		return
 	}
 	c.nextTick = now.Add(levelInterval)
-	c.forgetRefused(now)
-	if util.Load < nearSoft*util.soft() {
+	c.expireRefusals(now)
+	if util.Load < levelUpdateFraction*util.softLimit() {
 		c.level = math.Inf(1)
 		return
 	}
-	c.level = c.waterLevel(c.part(util))
+	c.level = c.waterLevel(c.localLimit(util))
 }
 
 func (c *Controller) waterLevel(limit float64) float64 {
@@ -251,9 +251,9 @@
 		return math.Inf(1)
 	}
 	low := 0.0
-	for range levelRounds {
+	for range levelIterations {
 		mid := (low + high) / 2
-		if c.filled(mid) > limit {
+		if c.cappedDemand(mid) > limit {
 			high = mid
 		} else {
 			low = mid
@@ -264,7 +264,7 @@
 
 func (cu *customer) demand() float64 { return float64(cu.inFlight + cu.refused) }
 
-func (c *Controller) filled(level float64) float64 {
+func (c *Controller) cappedDemand(level float64) float64 {
 	sum := 0.0
 	for _, cu := range c.list {
 		sum += min(cu.demand(), cu.weight*level)
@@ -272,16 +272,16 @@
 	return sum
 }
 
-// forgetRefused drops refusals that are too old to count as demand.
-func (c *Controller) forgetRefused(now time.Time) {
+// expireRefusals drops refusals that are too old to count as demand.
+func (c *Controller) expireRefusals(now time.Time) {
 	for i := len(c.list) - 1; i >= 0; i-- {
 		cu := c.list[i]
-		if cu.refused > 0 && now.Sub(cu.refusedAt) > demandMemory {
+		if cu.refused > 0 && now.Sub(cu.refusedAt) > refusalTTL {
 			c.refusals -= cu.refused
-			c.refusers--
+			c.refusedCustomers--
 			cu.refused = 0
 		}
-		c.forget(cu)
+		c.removeIfIdle(cu)
 	}
 }
 
@@ -289,39 +289,39 @@
 // which this instance drains its load above its part of the soft limit plus one request
 // for each earlier refusal, but at least minDelay. It is randomized so that refused
 // callers do not retry at the same time.
-func (c *Controller) RetryAfter(util Room, minDelay time.Duration, now time.Time, random *rand.Rand) time.Duration {
-	excess := float64(c.inFlight) * max(0, 1-util.soft()/max(1, util.Load))
-	seconds := (excess + float64(c.refusals-1)) / max(leastDrain, c.drain.rate(now))
+func (c *Controller) RetryAfter(util Utilization, minDelay time.Duration, now time.Time, random *rand.Rand) time.Duration {
+	excess := float64(c.inFlight) * max(0, 1-util.softLimit()/max(1, util.Load))
+	seconds := (excess + float64(c.refusals-1)) / max(minDrainRate, c.drain.rate(now))
 	delay := time.Duration(min(seconds, MaxRetryAfter.Seconds()/2) * float64(time.Second))
 	delay = max(delay, minDelay)
 	return delay + time.Duration(random.Float64()*float64(delay))
 }
 
-// drain measures the rate at which requests end.
-type drain struct {
-	since    time.Time
-	now, old float64
-	whole    bool
+// drainMeter measures the rate at which requests end.
+type drainMeter struct {
+	since           time.Time
+	count, lastRate float64
+	hasLastRate     bool
 }
 
-func (d *drain) add(now time.Time) {
-	d.turn(now)
-	d.now++
+func (d *drainMeter) add(now time.Time) {
+	d.rotate(now)
+	d.count++
 }
 
-func (d *drain) turn(now time.Time) {
+func (d *drainMeter) rotate(now time.Time) {
 	age := now.Sub(d.since)
 	if age < drainWindow {
 		return
 	}
-	d.old, d.whole = d.now/age.Seconds(), !d.since.IsZero()
-	d.since, d.now = now, 0
+	d.lastRate, d.hasLastRate = d.count/age.Seconds(), !d.since.IsZero()
+	d.since, d.count = now, 0
 }
 
-func (d *drain) rate(now time.Time) float64 {
-	d.turn(now)
-	if d.whole {
-		return d.old
+func (d *drainMeter) rate(now time.Time) float64 {
+	d.rotate(now)
+	if d.hasLastRate {
+		return d.lastRate
 	}
-	return d.now / max(1, now.Sub(d.since).Seconds())
+	return d.count / max(1, now.Sub(d.since).Seconds())
 }
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -30,12 +30,12 @@
 	return &pool{c: admission.NewController(), random: rand.New(rand.NewPCG(1, 1)), now: start, capacity: capacity}
 }
 
-func (p *pool) room() admission.Room {
-	return admission.Room{Load: float64(len(p.running)), Capacity: float64(p.capacity)}
+func (p *pool) utilization() admission.Utilization {
+	return admission.Utilization{Load: float64(len(p.running)), Capacity: float64(p.capacity)}
 }
 
 func (p *pool) ask(customer string, weight float64) admission.Verdict {
-	v := p.c.Admit(customer, weight, p.room(), p.now, p.random)
+	v := p.c.Admit(customer, weight, p.utilization(), p.now, p.random)
 	if v == admission.Admitted {
 		p.running = append(p.running, customer)
 	}
@@ -48,22 +48,22 @@
 		p.c.Ended(p.running[0], p.now)
 		p.running = p.running[1:]
 	}
-	p.c.Tick(p.room(), p.now)
+	p.c.Tick(p.utilization(), p.now)
 }
 
 // Below saturation no request is refused, however uneven the customers.
-func TestEveryoneGetsInBelowSaturation(t *testing.T) {
+func TestAllAdmittedBelowSaturation(t *testing.T) {
 	p := newPool(100)
 	for i := range 89 {
 		require.Equal(t, admission.Admitted, p.ask("large", 1), i)
-		p.c.Tick(p.room(), p.now)
+		p.c.Tick(p.utilization(), p.now)
 	}
 }
 
 // Two of ten customers surge to ten times the load that fits. Without shares, the full
 // service would refuse nine in ten requests of the other eight as well. With shares, only
 // the two are refused.
-func TestOnlyTheOnesWhoSurgeAreRefused(t *testing.T) {
+func TestOnlySurgingCustomersAreRefused(t *testing.T) {
 	p := newPool(200)
 	refused := map[string]int{}
 	inFlight := map[string]int{}
@@ -120,7 +120,7 @@
 
 // For random customers, loads and ends, the count of requests in progress is right, the
 // capacity is never exceeded, and no customer is tracked after all requests have ended.
-func TestNothingIsLeftBehind(t *testing.T) {
+func TestNoCustomerTrackedAfterAllRequestsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(1, 30).Draw(t, "capacity"))
 		for range 100 {
@@ -141,7 +141,7 @@
 
 // Callers refused at the same time must not retry at the same time, nor before the service
 // can have drained.
-func TestRetryAfterFollowsTheDrainAndSpreads(t *testing.T) {
+func TestRetryAfterFollowsDrainRateWithJitter(t *testing.T) {
 	times := func(ends int) (least, most time.Duration) {
 		p := newPool(100)
 		for range 300 {
@@ -152,7 +152,7 @@
 		}
 		least = time.Hour
 		for range 200 {
-			wait := p.c.RetryAfter(p.room(), time.Second, p.now, p.random)
+			wait := p.c.RetryAfter(p.utilization(), time.Second, p.now, p.random)
 			least, most = min(least, wait), max(most, wait)
 		}
 		return least, most
@@ -171,7 +171,7 @@
 			p, names := filled(n)
 			b.ReportAllocs()
 			for i := range b.N {
-				room := admission.Room{Load: 0.95 * float64(2*n), Capacity: float64(2 * n)}
+				room := admission.Utilization{Load: 0.95 * float64(2*n), Capacity: float64(2 * n)}
 				if p.c.Admit(names[i%n], 1, room, p.now, p.random) == admission.Admitted {
 					p.c.Ended(names[i%n], p.now)
 				}
@@ -187,7 +187,7 @@
 			b.ReportAllocs()
 			for range b.N {
 				p.now = p.now.Add(100 * time.Millisecond)
-				p.c.Tick(admission.Room{Load: float64(2 * n), Capacity: float64(2 * n)}, p.now)
+				p.c.Tick(admission.Utilization{Load: float64(2 * n), Capacity: float64(2 * n)}, p.now)
 			}
 		})
 	}
--- a/internal/core/admission_test.go
+++ b/internal/core/admission_test.go
@@ -16,9 +16,9 @@
 // A customer at its own limit is refused at once, with a time to retry, while other customers
 // are admitted. The end of one request makes room for one more.
 func TestCustomerLimit(t *testing.T) {
-	node := newPlacing(t, 3, 64, config.Customer{Name: "limited", MaxInFlight: 2}, config.Customer{Name: "other"})
+	node := newPlacementNode(t, 3, 64, config.Customer{Name: "limited", MaxInFlight: 2}, config.Customer{Name: "other"})
 	ask := func(id core.RequestID, customer string) *core.Finish {
-		_, refused := arrive(t, node, start, core.RequestArrived{Request: id, Customer: customer, Chat: string(id)})
+		_, refused := sendRequest(t, node, start, core.RequestArrived{Request: id, Customer: customer, Chat: string(id)})
 		return refused
 	}
 	require.Nil(t, ask("a", "limited"))
@@ -35,24 +35,24 @@
 // Guards against refusals for customers that did not cause a surge. One customer surges and
 // fills the pool. Its excess is refused with the reason customer-share, and each of the other
 // customers is still admitted.
-func TestSurgeIsRefusedAndTheOthersServed(t *testing.T) {
+func TestSurgingCustomerIsRefusedAndOthersAdmitted(t *testing.T) {
 	customers := []config.Customer{{Name: "surging"}}
 	for i := range 9 {
 		customers = append(customers, config.Customer{Name: fmt.Sprint("partner-", i)})
 	}
-	node := newPlacing(t, 12, 10, customers...)
+	node := newPlacementNode(t, 12, 10, customers...)
 	now, refusals := start, 0
 	for i := range 400 {
 		now = now.Add(10 * time.Millisecond)
 		node.Handle(now, core.Ticked{})
 		id := core.RequestID(fmt.Sprint("surge-", i))
-		if _, refused := arrive(t, node, now, core.RequestArrived{Request: id, Customer: "surging", Chat: string(id)}); refused != nil {
+		if _, refused := sendRequest(t, node, now, core.RequestArrived{Request: id, Customer: "surging", Chat: string(id)}); refused != nil {
 			require.Equal(t, reason.CustomerShare, refused.Reason)
 			refusals++
 		}
 		if i%50 == 49 {
 			id := core.RequestID(fmt.Sprint("partner-", i))
-			attempt, _ := arrive(t, node, now, core.RequestArrived{Request: id, Customer: fmt.Sprint("partner-", i/50), Chat: string(id)})
+			attempt, _ := sendRequest(t, node, now, core.RequestArrived{Request: id, Customer: fmt.Sprint("partner-", i/50), Chat: string(id)})
 			require.NotNil(t, attempt, i)
 		}
 	}
--- a/internal/core/claiming_test.go
+++ b/internal/core/claiming_test.go
@@ -16,48 +16,48 @@
 
 const claimWindow = 10 * time.Minute
 
-func noteFleet(seed uint64) *fleet {
+func newClaimFleet(seed uint64) *fleet {
 	f := newFleet(seed, 4, 2, fleetText(claimWindow))
 	f.run(3 * time.Second)
 	return f
 }
 
-// requireRan requires that exactly keys requests ran, so that no key stays blocked by a
-// claim whose request never ran.
-func (f *fleet) requireRan(t *testing.T, keys int) {
+// requireRunCount requires that exactly keys requests ran, so that no key stays blocked by
+// a claim whose request never ran.
+func (f *fleet) requireRunCount(t *testing.T, keys int) {
 	t.Helper()
 	ran := len(f.runs)
 	require.Equal(t, keys, ran)
 }
 
-func requireOnce(t *testing.T, f *fleet) {
+func requireCleanTally(t *testing.T, f *fleet) {
 	t.Helper()
-	c := f.tally(claimWindow)
-	t.Logf("lost %d, doubled %d, untrue refusals %d", c.lost, c.doubled, c.untrue)
-	require.Equal(t, tally{}, c)
+	c := f.countViolations(claimWindow)
+	t.Logf("lost %d, doubled %d, untrue refusals %d", c.lost, c.duplicated, c.falselyNotRun)
+	require.Equal(t, violations{}, c)
 }
 
 // A caller retries a request through an instance in another zone at the same moment, since
 // the first connection seems dead, and the request runs twice. Only the store can detect
 // that both have the same key.
-func TestTheSameKeyAtTwoInstancesAtOnceRunsOnce(t *testing.T) {
-	f := noteFleet(1)
+func TestConcurrentRequestsWithOneKeyRunOnce(t *testing.T) {
+	f := newClaimFleet(1)
 	for i := range 50 {
 		key := fmt.Sprintf("note-%d", i)
-		for _, m := range f.members {
-			f.ask(m, key)
+		for _, m := range f.instances {
+			f.submit(m, key)
 		}
 		f.run(500 * time.Millisecond)
 	}
 	f.run(10 * time.Second)
-	requireOnce(t, f)
-	f.requireRan(t, 50)
+	requireCleanTally(t, f)
+	f.requireRunCount(t, 50)
 	for _, s := range f.requests {
 		if s.runs == 0 {
 			require.Equal(t, reason.Duplicate, s.outcome)
 		}
 	}
-	again := f.ask(f.members[3], "note-7")
+	again := f.submit(f.instances[3], "note-7")
 	f.run(5 * time.Second)
 	require.Equal(t, reason.Duplicate, again.outcome)
 	require.Equal(t, "answered", again.first, "state of the first request")
@@ -65,161 +65,161 @@
 
 // Same as above, but the instances disagree about the members of the fleet, so that each
 // considers itself the owner of every partition.
-func TestOwnersThatDisagreeRunAKeyOnce(t *testing.T) {
+func TestKeyRunsOnceWhenInstancesDisagreeOnOwners(t *testing.T) {
 	f := newFleet(2, 4, 2, fleetText(claimWindow))
 	f.listDown = true
 	f.run(3 * time.Second)
 	for i := range 50 {
-		for _, m := range f.members {
-			f.ask(m, fmt.Sprintf("note-%d", i))
+		for _, m := range f.instances {
+			f.submit(m, fmt.Sprintf("note-%d", i))
 		}
 		f.run(200 * time.Millisecond)
 	}
 	f.run(10 * time.Second)
-	requireOnce(t, f)
-	f.requireRan(t, 50)
+	requireCleanTally(t, f)
+	f.requireRunCount(t, 50)
 }
 
 // The store's answer to a claim is lost before the write or after it, or the write takes
 // effect after all instances have given up on it. The request then runs twice, or is
 // refused as the duplicate of one that never ran.
-func TestLostAnswersOfTheStoreDoubleAndBlockNothing(t *testing.T) {
+func TestLostStoreAnswersNeitherRepeatNorBlockKeys(t *testing.T) {
 	for _, kind := range []string{"answer", "write", "late"} {
 		t.Run(kind, func(t *testing.T) {
-			f := noteFleet(3)
+			f := newClaimFleet(3)
 			switch kind {
 			case "answer":
-				f.store.loseAnswer = 0.3
+				f.store.lostReplyShare = 0.3
 			case "write":
-				f.store.loseWrite = 0.3
+				f.store.lostWriteShare = 0.3
 			case "late":
-				f.store.lateWrite = 0.3
+				f.store.lateWriteShare = 0.3
 			}
 			for i := range 60 {
-				f.ask(f.members[i%4], fmt.Sprintf("note-%d", i%20))
+				f.submit(f.instances[i%4], fmt.Sprintf("note-%d", i%20))
 				f.run(300 * time.Millisecond)
 			}
-			f.store.loseAnswer, f.store.loseWrite, f.store.lateWrite = 0, 0, 0
+			f.store.lostReplyShare, f.store.lostWriteShare, f.store.lateWriteShare = 0, 0, 0
 			f.run(time.Minute)
 			for i := range 20 {
-				f.ask(f.members[i%4], fmt.Sprintf("note-%d", i))
+				f.submit(f.instances[i%4], fmt.Sprintf("note-%d", i))
 			}
 			f.run(time.Minute)
-			requireOnce(t, f)
-			f.requireRan(t, 20)
+			requireCleanTally(t, f)
+			f.requireRunCount(t, 20)
 		})
 	}
 }
 
 // While the store is unavailable, requests must be refused as not run within a few
 // seconds. Their keys must be free once the store is back.
-func TestStoreAwayRefusesAndDoesNotBlock(t *testing.T) {
-	f := noteFleet(4)
+func TestStoreOutageRefusesWithoutBlockingKeys(t *testing.T) {
+	f := newClaimFleet(4)
 	f.store.down = true
-	var refused []*sent
+	var refused []*callerRequest
 	for i := range 10 {
-		refused = append(refused, f.ask(f.members[i%4], fmt.Sprintf("note-%d", i)))
+		refused = append(refused, f.submit(f.instances[i%4], fmt.Sprintf("note-%d", i)))
 		f.run(10 * time.Second)
 	}
 	for _, s := range refused {
 		require.Equal(t, reason.NotRun, s.outcome)
-		require.Equal(t, reason.ClaimUnavailable, s.why)
+		require.Equal(t, reason.ClaimUnavailable, s.reason)
 		require.LessOrEqual(t, s.ended.Sub(s.at), 4*time.Second)
 	}
 	f.store.down = false
 	f.run(2 * time.Minute)
 	for i := range 10 {
-		f.ask(f.members[i%4], fmt.Sprintf("note-%d", i))
+		f.submit(f.instances[i%4], fmt.Sprintf("note-%d", i))
 	}
 	f.run(10 * time.Second)
-	requireOnce(t, f)
-	f.requireRan(t, 10)
+	requireCleanTally(t, f)
+	f.requireRunCount(t, 10)
 }
 
 // The owner of the partitions is frozen for longer than the claim window while others
 // write claims. It resumes with a stale tail and with requests whose claims it still
 // considers valid.
-func TestFrozenOwnerWakesWithAStaleTail(t *testing.T) {
-	f := noteFleet(5)
+func TestFrozenOwnerResumesWithStaleTail(t *testing.T) {
+	f := newClaimFleet(5)
 	for i := range 40 {
-		f.ask(f.members[i%4], fmt.Sprintf("warm-%d", i))
+		f.submit(f.instances[i%4], fmt.Sprintf("warm-%d", i))
 	}
 	f.run(3 * time.Second)
-	frozen := f.members[0]
+	frozen := f.instances[0]
 	for i := range 40 {
-		f.ask(frozen, fmt.Sprintf("note-%d", i))
+		f.submit(frozen, fmt.Sprintf("note-%d", i))
 	}
 	f.run(2 * time.Millisecond)
-	frozen.frozenTill = f.now.Add(claimWindow + time.Minute)
+	frozen.frozenUntil = f.now.Add(claimWindow + time.Minute)
 	for round := range 13 {
 		for i := range 40 {
-			f.ask(f.members[1+i%3], fmt.Sprintf("note-%d", i))
+			f.submit(f.instances[1+i%3], fmt.Sprintf("note-%d", i))
 		}
 		f.run(time.Duration(50+round) * time.Second)
 	}
 	f.run(time.Minute)
 	for i := range 40 {
-		f.ask(frozen, fmt.Sprintf("note-%d", i))
+		f.submit(frozen, fmt.Sprintf("note-%d", i))
 	}
 	f.run(20 * time.Second)
-	requireOnce(t, f)
+	requireCleanTally(t, f)
 	require.Positive(t, f.counters["claim_takeovers/"], "takeovers by other instances")
 }
 
 // An instance is killed after its claim is stored and before the request is sent. The key
 // stays claimed: a second request with it is refused as in progress or lost, and a third
 // one runs after the window.
-func TestKilledBetweenClaimAndSend(t *testing.T) {
-	f := noteFleet(6)
-	m := f.members[0]
-	s := f.ask(m, "note")
+func TestInstanceKilledBetweenClaimAndSend(t *testing.T) {
+	f := newClaimFleet(6)
+	m := f.instances[0]
+	s := f.submit(m, "note")
 	for f.calls["claim-write"] == 0 {
 		f.run(time.Millisecond)
 	}
 	require.Zero(t, s.runs)
 	m.dead = true
 	f.run(time.Second)
-	second := f.ask(f.members[1], "note")
+	second := f.submit(f.instances[1], "note")
 	f.run(10 * time.Second)
 	require.Equal(t, reason.Duplicate, second.outcome)
 	require.Equal(t, "in-progress-or-lost", second.first)
 	f.run(claimWindow + time.Minute)
-	third := f.ask(f.members[2], "note")
+	third := f.submit(f.instances[2], "note")
 	f.run(10 * time.Second)
 	require.Equal(t, 1, third.runs)
-	requireOnce(t, f)
+	requireCleanTally(t, f)
 }
 
 // A request that could not be sent is refused as not run. Its caller retries at once and
 // must not be refused as a duplicate.
 func TestReleasedKeyRunsAgain(t *testing.T) {
-	f := noteFleet(7)
-	f.noAnswer = 1
-	first := f.ask(f.members[0], "note")
+	f := newClaimFleet(7)
+	f.dialFailureShare = 1
+	first := f.submit(f.instances[0], "note")
 	f.run(3 * time.Second)
 	require.Equal(t, reason.NotRun, first.outcome)
-	f.noAnswer = 0
-	second := f.ask(f.members[1], "note")
+	f.dialFailureShare = 0
+	second := f.submit(f.instances[1], "note")
 	f.run(3 * time.Second)
 	require.Equal(t, 1, second.runs)
-	requireOnce(t, f)
+	requireCleanTally(t, f)
 }
 
 // A zone with the owners of half the partitions is cut off from the platform. Requests in
 // the other zone must still run, and the zone that is cut off must refuse with a true
 // outcome.
-func TestZoneCutFromThePlatformLeavesTheOtherZone(t *testing.T) {
-	f := noteFleet(8)
-	f.cutOff = func(m *member) bool { return m.zone == "zone-0" }
+func TestZoneWithoutPlatformDoesNotAffectOtherZone(t *testing.T) {
+	f := newClaimFleet(8)
+	f.platformCut = func(m *fakeInstance) bool { return m.zone == "zone-0" }
 	for i := range 60 {
-		f.ask(f.members[i%4], fmt.Sprintf("note-%d", i))
+		f.submit(f.instances[i%4], fmt.Sprintf("note-%d", i))
 		f.run(200 * time.Millisecond)
 	}
 	f.run(10 * time.Second)
-	requireOnce(t, f)
+	requireCleanTally(t, f)
 	ran := map[string]int{}
 	for _, s := range f.requests {
-		ran[s.by.zone] += s.runs
+		ran[s.instance.zone] += s.runs
 	}
 	t.Logf("ran: %v of 30 each", ran)
 	require.Equal(t, 30, ran["zone-1"])
@@ -238,10 +238,10 @@
 			return time.Duration(rapid.IntRange(1, limit).Draw(t, label)) * time.Millisecond
 		}
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
-			m := f.members[rapid.IntRange(0, len(f.members)-1).Draw(t, "member")]
+			m := f.instances[rapid.IntRange(0, len(f.instances)-1).Draw(t, "member")]
 			switch rapid.IntRange(0, 15).Draw(t, "what") {
 			case 0:
-				m.frozenTill = f.now.Add(ms("frozen", 60_000))
+				m.frozenUntil = f.now.Add(ms("frozen", 60_000))
 			case 1:
 				m.dead = true
 				f.run(ms("dead", 3000))
@@ -253,24 +253,24 @@
 			case 4:
 				f.store.delay = 0
 			case 5:
-				f.store.loseAnswer, f.store.lateWrite, f.store.loseWrite = 0.2, 0.2, 0.2
+				f.store.lostReplyShare, f.store.lateWriteShare, f.store.lostWriteShare = 0.2, 0.2, 0.2
 			case 6:
-				f.store.loseAnswer, f.store.lateWrite, f.store.loseWrite = 0, 0, 0
+				f.store.lostReplyShare, f.store.lateWriteShare, f.store.lostWriteShare = 0, 0, 0
 			case 7:
-				f.cut = func(a, b *member) bool { return a.zone != b.zone }
+				f.linkCut = func(a, b *fakeInstance) bool { return a.zone != b.zone }
 			case 8:
-				f.cut = func(_, _ *member) bool { return false }
+				f.linkCut = func(_, _ *fakeInstance) bool { return false }
 			case 9:
-				f.noAnswer = 0.5 - f.noAnswer
+				f.dialFailureShare = 0.5 - f.dialFailureShare
 			case 10:
 				f.list[rapid.IntRange(0, 2).Draw(t, "listed")].State = membership.Leaving
 			default:
-				f.ask(m, fmt.Sprintf("key-%d", rapid.IntRange(0, 3).Draw(t, "key")))
+				f.submit(m, fmt.Sprintf("key-%d", rapid.IntRange(0, 3).Draw(t, "key")))
 			}
 			f.run(ms("pause", rapid.SampledFrom([]int{5, 50, 1000, 15_000}).Draw(t, "pace")))
 		}
 		f.run(2 * time.Minute)
-		require.Equal(t, tally{}, f.tally(window))
+		require.Equal(t, violations{}, f.countViolations(window))
 	})
 }
 
@@ -278,28 +278,28 @@
 // after the claim window. Another instance received a request with the same key a
 // millisecond before that freeze. The resumed instance sent its request although its claim
 // had expired, and the key ran twice. The property test above found this schedule.
-func TestAskedBeforeAFreezeLongerThanTheWindow(t *testing.T) {
+func TestRequestBeforeFreezeLongerThanClaimWindow(t *testing.T) {
 	const window = 20 * time.Second
 	f := newFleet(0, 3, 2, fleetText(window))
 	f.run(time.Second)
-	resumed, other := f.members[0], f.members[1]
+	resumed, other := f.instances[0], f.instances[1]
 	for range 2 {
-		resumed.frozenTill = f.now.Add(time.Millisecond)
+		resumed.frozenUntil = f.now.Add(time.Millisecond)
 		f.run(time.Millisecond)
 	}
-	f.ask(other, "key-2")
+	f.submit(other, "key-2")
 	f.run(time.Millisecond)
-	resumed.frozenTill = f.now.Add(50_993 * time.Millisecond)
+	resumed.frozenUntil = f.now.Add(50_993 * time.Millisecond)
 	f.run(time.Millisecond)
-	f.ask(resumed, "key-2")
+	f.submit(resumed, "key-2")
 	f.run(time.Millisecond)
 	f.run(2 * time.Minute)
-	require.Equal(t, tally{}, f.tally(window))
+	require.Equal(t, violations{}, f.countViolations(window))
 }
 
 // The store handles several hundred writes a second in total. One write per request would
 // overload it at 1,000 requests a second.
-func TestGroupCommitKeepsTheStoreUnderAHundredWrites(t *testing.T) {
+func TestGroupCommitKeepsStoreBelowHundredWrites(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ instances, zones int }{{8, 3}, {58, 3}} {
 		f := newFleet(9, size.instances, size.zones, fleetText(claimWindow))
@@ -307,15 +307,15 @@
 		const seconds = 20
 		clear(f.calls)
 		for i := range seconds * 1000 {
-			f.ask(f.members[i%len(f.members)], fmt.Sprintf("note-%d", i))
+			f.submit(f.instances[i%len(f.instances)], fmt.Sprintf("note-%d", i))
 			f.run(time.Millisecond)
 		}
 		writes := float64(f.calls["claim-write"]) / seconds
 		t.Logf("%d instances: %.1f writes, %.0f bytes written and %.1f reads a second for 1,000 claims a second, %d takeovers",
 			size.instances, writes, float64(f.calls["claim-bytes"])/seconds, float64(f.calls["get"])/seconds, f.counters["claim_takeovers/"])
 		f.run(10 * time.Second)
-		requireOnce(t, f)
-		f.requireRan(t, seconds*1000)
+		requireCleanTally(t, f)
+		f.requireRunCount(t, seconds*1000)
 		require.Less(t, writes, 100.0)
 	}
 }
--- a/internal/core/claimpeers.go
+++ b/internal/core/claimpeers.go
@@ -10,19 +10,19 @@
 	n.emit(SendPeer{To: owner, Message: PeerMessage{Claim: &req}})
 }
 
-// suspected reports whether an owner recently failed to answer.
-func (n *Node) suspected(owner string) bool { return n.now.Before(n.claims.suspects[owner]) }
+// ownerSuspected reports whether an owner recently failed to answer.
+func (n *Node) ownerSuspected(owner string) bool { return n.now.Before(n.claims.suspects[owner]) }
 
-// wantOwners requests links to the owners of all partitions, since an instance that makes
-// one claim usually makes more.
-func (n *Node) wantOwners() {
-	if n.now.Before(n.claims.wantedAt.Add(time.Second)) {
+// requestOwnerLinks requests links to the owners of all partitions, since an instance that
+// makes one claim usually makes more.
+func (n *Node) requestOwnerLinks() {
+	if n.now.Before(n.claims.linksRequestedAt.Add(time.Second)) {
 		return
 	}
-	n.claims.wantedAt = n.now
-	for i := range claims.Ranges {
-		if owner := n.rangeOwner(i); owner != n.settings.Name {
-			n.askForLink(owner)
+	n.claims.linksRequestedAt = n.now
+	for i := range claims.Partitions {
+		if owner := n.partitionOwner(i); owner != n.settings.Name {
+			n.requestLink(owner)
 		}
 	}
 }
@@ -34,66 +34,66 @@
 	if req.Expires == 0 {
 		return
 	}
-	i := req.Key.Range()
-	partition := n.claimRange(i)
-	if partition.Waits(req.Token) {
+	i := req.Key.Partition()
+	partition := n.claimPartition(i)
+	if partition.IsPending(req.Token) {
 		reply := claims.Reply{Key: req.Key, Token: req.Token, Set: req.Set, Verdict: claims.Queued}
 		n.emit(SendPeer{To: from, Message: PeerMessage{ClaimReply: &reply}})
 		return
 	}
-	wait := claimWait
+	wait := claimTimeout
 	if req.Set != claims.Claimed {
-		wait = endWait
+		wait = claimEndTimeout
 	}
 	if verdict := n.queueClaim(partition, from, req, n.now.Add(wait)); verdict != claims.Granted {
 		reply := claims.Reply{Key: req.Key, Token: req.Token, Set: req.Set, Verdict: verdict}
 		n.emit(SendPeer{To: from, Message: PeerMessage{ClaimReply: &reply}})
 		return
 	}
-	n.pumpClaims(i)
+	n.advancePartition(i)
 }
 
 // peerClaimReply handles the answer of the peer that owns the partition.
 func (n *Node) peerClaimReply(from string, reply claims.Reply) {
 	if reply.Set != claims.Claimed {
-		n.endAnswered(reply)
+		n.confirmClaimEnd(reply)
 		return
 	}
-	pc := n.claims.waiting[reply.Token]
+	pc := n.claims.pending[reply.Token]
 	if pc == nil || reply.Verdict == claims.Queued || pc.owner != from && reply.Verdict != claims.Granted {
 		return
 	}
 	if reply.Verdict == claims.Unavailable {
-		n.takeOver(pc)
+		n.takeOverClaim(pc)
 		return
 	}
-	n.claimDecided(pc, reply)
+	n.completeClaim(pc, reply)
 }
 
-// takeOver writes a claim locally because the owner of its partition could not: the owner
-// may be frozen, unreachable, or in an availability zone that has lost the platform while
-// this zone has not.
-func (n *Node) takeOver(pc *claimWaiter) {
-	pc.astray = pc.written
-	n.claims.suspects[pc.owner] = n.now.Add(suspectTime)
+// takeOverClaim writes a claim locally because the owner of its partition could not: the
+// owner may be frozen, unreachable, or in an availability zone that has lost the platform
+// while this zone has not.
+func (n *Node) takeOverClaim(pc *pendingClaim) {
+	pc.mayBeStoredLate = pc.mayBeStored
+	n.claims.suspects[pc.owner] = n.now.Add(ownerSuspectTimeout)
 	n.emit(Counted{Counter: counterClaimTakeovers, N: 1})
-	n.claimHere(pc)
+	n.claimLocally(pc)
 }
 
-// askAgain resends a claim that its owner has not answered in time. The owner replies at
+// resendClaim resends a claim that its owner has not answered in time. The owner replies at
 // once if the request is in its queue. This instance takes over from a silent owner, but
 // not from a busy one: a second writer would slow down a partition that is already behind.
-func (n *Node) askAgain(pc *claimWaiter) {
-	if !pc.written {
-		n.takeOver(pc)
+func (n *Node) resendClaim(pc *pendingClaim) {
+	if !pc.mayBeStored {
+		n.takeOverClaim(pc)
 		return
 	}
-	pc.again++
-	if pc.again > 1 && n.now.Sub(n.members.heard[pc.owner]) >= againWait {
-		n.takeOver(pc)
+	pc.forwardTimeouts++
+	if pc.forwardTimeouts > 1 && n.now.Sub(n.members.peerContactAt[pc.owner]) >= claimResendTimeout {
+		n.takeOverClaim(pc)
 		return
 	}
-	pc.astray = true
-	pc.forwardUntil = n.now.Add(againWait)
-	n.sendClaim(pc.owner, pc.ask)
+	pc.mayBeStoredLate = true
+	pc.forwardDeadline = n.now.Add(claimResendTimeout)
+	n.sendClaim(pc.owner, pc.req)
 }
--- a/internal/core/claims/claims.go
+++ b/internal/core/claims/claims.go
@@ -16,8 +16,8 @@
 // Fixed dimensions of the ledger. If two instances used different values, they would look
 // up the same key in different places, and both would run the request.
 const (
-	// Ranges is the number of partitions. Keys are assigned to them by hash.
-	Ranges = 32
+	// Partitions is the number of partitions. Keys are assigned to them by hash.
+	Partitions = 32
 	// Slots is the number of store values of one partition.
 	Slots = 256
 	// SegmentRecords is the number of records at which a segment is full. All instances
@@ -31,9 +31,9 @@
 	Lo uint64 `json:"lo"`
 }
 
-// Key returns the hash of a customer's idempotency key for a service. The hash is
+// HashKey returns the hash of a customer's idempotency key for a service. The hash is
 // cryptographic so that no caller can make its key collide with another caller's.
-func Key(customer, service, key string) KeyHash {
+func HashKey(customer, service, key string) KeyHash {
 	var text []byte
 	for _, part := range []string{customer, service, key} {
 		text = binary.AppendUvarint(text, uint64(len(part)))
@@ -43,8 +43,8 @@
 	return KeyHash{Hi: binary.BigEndian.Uint64(sum[:]), Lo: binary.BigEndian.Uint64(sum[8:])}
 }
 
-// Range returns the partition of the key.
-func (k KeyHash) Range() int { return int(k.Hi % Ranges) }
+// Partition returns the partition of the key.
+func (k KeyHash) Partition() int { return int(k.Hi % Partitions) }
 
 // State is the state of a claim in the ledger.
 type State uint8
--- a/internal/core/claims/load.go
+++ b/internal/core/claims/load.go
@@ -8,49 +8,49 @@
 // tail is therefore found by bisection: slot 0 holds segment first, and slot i belongs to
 // the same lap exactly if it holds segment first + i.
 type loading struct {
-	first uint64
-	begun bool
+	first   uint64
+	started bool
 	// The tail is in a slot of [low, high).
 	low, high int
 	tail      Segment
 	version   uint64
-	// next is the segment to read next in phase filling.
+	// next is the segment to read next in phase replaying.
 	next uint64
-	log  log
+	log  partitionLog
 }
 
 func (l *loading) slot(current phase) int {
 	switch {
-	case current == filling:
+	case current == replaying:
 		return slotOf(l.next)
-	case !l.begun:
+	case !l.started:
 		return 0
 	default:
 		return (l.low + l.high) / 2
 	}
 }
 
-// Replied handles the result of the call that Step returned.
-func (p *Range) Replied(now time.Time, res Result) {
-	call := p.calling
-	p.calling = nil
+// HandleResult handles the result of the call that NextCall returned.
+func (p *Partition) HandleResult(now time.Time, res Result) {
+	call := p.inFlight
+	p.inFlight = nil
 	if call == nil {
 		return
 	}
 	if call.Swap {
-		p.swapped(now, call, res)
+		p.handleSwap(now, call, res)
 		return
 	}
 	if res.Status != OK && res.Status != Absent {
 		p.advancing = false
-		p.failed(now)
+		p.backOff(now)
 		return
 	}
 	var s *Segment
 	if res.Status == OK {
 		decoded, err := Decode(res.Value)
 		if err != nil {
-			p.failed(now)
+			p.backOff(now)
 			return
 		}
 		s = &decoded
@@ -58,30 +58,30 @@
 	p.failures = 0
 	switch p.phase {
 	case searching:
-		p.searched(now, s, res.Version)
-	case filling:
-		p.filled(now, s)
+		p.bisect(now, s, res.Version)
+	case replaying:
+		p.replay(now, s)
 	case ready:
-		p.read(now, s, res.Version)
+		p.handleRead(now, s, res.Version)
 	}
 }
 
-// failed applies a backoff to the next call. The jitter keeps instances from retrying at
+// backOff applies a backoff to the next call. The jitter keeps instances from retrying at
 // the same time.
-func (p *Range) failed(now time.Time) {
+func (p *Partition) backOff(now time.Time) {
 	p.failures++
-	delay := maxDelay
+	delay := maxBackoff
 	if p.failures < 8 {
-		delay = min(maxDelay, firstDelay<<(p.failures-1))
+		delay = min(maxBackoff, minBackoff<<(p.failures-1))
 	}
-	p.notBefore = now.Add(delay/2 + time.Duration(p.random.Int64N(int64(delay))))
-	p.refuseRemote()
+	p.backoffUntil = now.Add(delay/2 + time.Duration(p.random.Int64N(int64(delay))))
+	p.refusePeerClaims()
 }
 
-// refuseRemote refuses the claims of peers while the store fails. A peer may be in an
+// refusePeerClaims refuses the claims of peers while the store fails. A peer may be in an
 // availability zone that still reaches the store, and then writes the claim itself.
-func (p *Range) refuseRemote() {
-	var remaining []*entry
+func (p *Partition) refusePeerClaims() {
+	var remaining []*queuedRequest
 	for _, q := range p.queue {
 		if q.req.Set == Claimed && q.from != "" {
 			p.answer(q, Unavailable, 0)
@@ -93,21 +93,21 @@
 }
 
 // reload restarts loading after a short delay, since the log has changed unexpectedly.
-func (p *Range) reload(now time.Time) {
-	p.notBefore = now.Add(reloadDelay)
-	p.phase, p.unsure, p.advancing = unloaded, false, false
-	p.unbatch()
+func (p *Partition) reload(now time.Time) {
+	p.backoffUntil = now.Add(reloadDelay)
+	p.phase, p.tailUncertain, p.advancing = unloaded, false, false
+	p.requeueBatch()
 }
 
-// searched makes one step of the bisection.
-func (p *Range) searched(now time.Time, s *Segment, version uint64) {
-	l := &p.load
-	if !l.begun {
+// bisect makes one step of the bisection.
+func (p *Partition) bisect(now time.Time, s *Segment, version uint64) {
+	l := &p.loading
+	if !l.started {
 		if s == nil {
-			p.loaded(now, log{records: make(map[KeyHash]Record)})
+			p.finishLoading(now, partitionLog{records: make(map[KeyHash]Record)})
 			return
 		}
-		*l = loading{begun: true, first: s.Seq, high: Slots, tail: *s, version: version}
+		*l = loading{started: true, first: s.Seq, high: Slots, tail: *s, version: version}
 		return
 	}
 	mid := (l.low + l.high) / 2
@@ -120,58 +120,59 @@
 		return
 	}
 	l.next = l.tail.Oldest
-	p.phase = filling
+	p.phase = replaying
 	if l.next == l.tail.Seq {
-		p.tailLoaded(now)
+		p.replayTail(now)
 	}
 }
 
-// filled replays one segment before the tail. These segments are full and never written
+// replay replays one segment before the tail. These segments are full and never written
 // again; a different segment in the slot means that the log has advanced by a whole lap.
-func (p *Range) filled(now time.Time, s *Segment) {
-	l := &p.load
+func (p *Partition) replay(now time.Time, s *Segment) {
+	l := &p.loading
 	if s == nil || s.Seq != l.next {
 		p.reload(now)
-		p.failed(now)
+		p.backOff(now)
 		return
 	}
 	l.log.apply(*s)
 	l.next++
 	if l.next == l.tail.Seq {
-		p.tailLoaded(now)
+		p.replayTail(now)
 	}
 }
 
-// tailLoaded adds the tail to the replayed log and completes the loading.
-func (p *Range) tailLoaded(now time.Time) {
-	p.load.log.adopt(p.load.tail, p.load.version)
-	p.loaded(now, p.load.log)
+// replayTail adds the tail to the replayed log and completes the loading.
+func (p *Partition) replayTail(now time.Time) {
+	p.loading.log.setTail(p.loading.tail, p.loading.version)
+	p.finishLoading(now, p.loading.log)
 }
 
-// loaded completes the loading. If the tail was written after it was read, the first write
-// fails with a conflict. Duplicates are refused only after another read of the tail.
-func (p *Range) loaded(now time.Time, l log) {
-	if p.log.stored() > l.stored() {
-		p.lost()
+// finishLoading completes the loading. If the tail was written after it was read, the
+// first write fails with a conflict. Duplicates are refused only after another read of the
+// tail.
+func (p *Partition) finishLoading(now time.Time, l partitionLog) {
+	if p.log.segmentCount() > l.segmentCount() {
+		p.handleLoss()
 	}
-	p.log, p.load, p.phase = l, loading{}, ready
-	p.syncedAt = now.Add(-syncAge)
-	p.unsure = false
+	p.log, p.loading, p.phase = l, loading{}, ready
+	p.syncedAt = now.Add(-maxStateAge)
+	p.tailUncertain = false
 }
 
-// lost handles a store that returned an older log than this instance has seen, so that
-// claims are missing. No claim of the partition is granted here until the last claim known
-// to this instance has expired. An instance that has not read the lost records can't
+// handleLoss handles a store that returned an older log than this instance has seen, so
+// that claims are missing. No claim of the partition is granted here until the last claim
+// known to this instance has expired. An instance that has not read the lost records can't
 // detect the loss; this case is not handled.
-func (p *Range) lost() {
-	if until := p.log.latest(); until.After(p.distrust) {
-		p.distrust = until
+func (p *Partition) handleLoss() {
+	if until := p.log.lastExpiry(); until.After(p.distrustUntil) {
+		p.distrustUntil = until
 	}
 }
 
-// read handles a slot read in phase ready: either that of the tail, to detect changes, or
-// the one after a full tail.
-func (p *Range) read(now time.Time, s *Segment, version uint64) {
+// handleRead handles a slot read in phase ready: either that of the tail, to detect
+// changes, or the one after a full tail.
+func (p *Partition) handleRead(now time.Time, s *Segment, version uint64) {
 	if p.advancing {
 		p.advancing = false
 		p.advance(now, s, version)
@@ -180,22 +181,22 @@
 	seq := p.log.tail.Seq
 	switch {
 	case s != nil && s.Seq == seq && version >= p.log.version:
-		p.log.adopt(*s, version)
-	case before(s, seq) && len(p.log.tail.Records) == 0 && version >= p.log.version:
+		p.log.setTail(*s, version)
+	case holdsPreviousLap(s, seq) && len(p.log.tail.Records) == 0 && version >= p.log.version:
 		p.log.version = version
 	default:
 		if s == nil || s.Seq <= seq {
-			p.lost()
+			p.handleLoss()
 		}
 		p.reload(now)
 		return
 	}
-	p.unsure, p.syncedAt = false, now
+	p.tailUncertain, p.syncedAt = false, now
 }
 
-// before reports whether the slot of segment seq still holds the segment of the lap
-// before, or nothing on the first lap.
-func before(s *Segment, seq uint64) bool {
+// holdsPreviousLap reports whether the slot of segment seq still holds the segment of the
+// lap before, or nothing on the first lap.
+func holdsPreviousLap(s *Segment, seq uint64) bool {
 	if s == nil {
 		return seq < Slots
 	}
@@ -209,55 +210,55 @@
 // slot. Versions only grow, so its write fails if the slot has been written since. If a
 // key were deleted and created again, its versions would restart, and the late write of a
 // stale tail could succeed and undo the claims made in between.
-func (p *Range) advance(now time.Time, s *Segment, version uint64) {
+func (p *Partition) advance(now time.Time, s *Segment, version uint64) {
 	next := p.log.tail.Seq + 1
 	switch {
 	case s != nil && s.Seq == next:
-		p.log.adopt(*s, version)
+		p.log.setTail(*s, version)
 		p.syncedAt = now
-	case !before(s, next):
+	case !holdsPreviousLap(s, next):
 		p.reload(now)
 	case s != nil && !expired(s.expiry(), now):
-		p.fullUntil = now.Add(fullDelay)
+		p.fullUntil = now.Add(fullCheckInterval)
 		p.refuseFull()
 	default:
-		p.log.adopt(Segment{Seq: next, Oldest: p.log.oldest}, version)
+		p.log.setTail(Segment{Seq: next, Oldest: p.log.oldest}, version)
 		p.syncedAt = now
 	}
 }
 
-// swapped handles the result of a write.
-func (p *Range) swapped(now time.Time, call *Call, res Result) {
+// handleSwap handles the result of a write.
+func (p *Partition) handleSwap(now time.Time, call *Call, res Result) {
 	switch res.Status {
 	case OK:
 		p.failures = 0
-		p.written(now, call, res.Version)
+		p.commitBatch(now, call, res.Version)
 	case Failed:
-		p.unbatch()
-		p.failed(now)
+		p.requeueBatch()
+		p.backOff(now)
 	case Conflict:
 		p.failures = 0
-		p.unbatch()
-		p.unsure = true
+		p.requeueBatch()
+		p.tailUncertain = true
 	default:
 		// The write may have taken effect or may still do so. Reading the slot shows
 		// whether it has: the requests are then found with their own tokens. If not, they
 		// are written again over the same version, and the store accepts only one write
 		// per version.
-		p.unbatch()
-		p.unsure = true
+		p.requeueBatch()
+		p.tailUncertain = true
 		p.failures++
 	}
 }
 
-// written adds the batch to the log and grants its requests.
-func (p *Range) written(now time.Time, call *Call, version uint64) {
+// commitBatch adds the batch to the log and grants its requests.
+func (p *Partition) commitBatch(now time.Time, call *Call, version uint64) {
 	s, err := Decode(call.Value)
 	if err != nil {
 		p.reload(now)
 		return
 	}
-	p.log.adopt(s, version)
+	p.log.setTail(s, version)
 	p.syncedAt = now
 	for _, q := range p.batch {
 		p.answer(q, Granted, 0)
--- a/internal/core/claims/log.go
+++ b/internal/core/claims/log.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// log is the state of one partition's log: the tail and the effect of all records.
-type log struct {
+// partitionLog is the known state of one partition's log: the tail and the effect of all
+// records.
+type partitionLog struct {
 	tail Segment
 	// version is the store's version of the tail's slot, 0 while the slot is absent. While
 	// a tail has no records, it is not stored yet, and version is that of the slot's
@@ -33,7 +34,7 @@
 // again. It is never granted after its release, which the claimant requests once it has
 // reported to its caller that the request did not run. Such a late claim can still be in
 // progress at an owner that is slow or was frozen, and would block the key needlessly.
-func (l *log) decide(now time.Time, req Request) decision {
+func (l *partitionLog) decide(now time.Time, req Request) decision {
 	last, known := l.records[req.Key]
 	known = known && !last.expired(now)
 	_, released := l.released[req.Token]
@@ -55,13 +56,13 @@
 	}
 }
 
-// freedFor reports whether a claim may follow the release of a token in the same write.
-// Otherwise a caller that gives up and retries soon would wait for two writes, give up
-// again, and in a busy partition never succeed.
+// claimableAfterRelease reports whether a claim may follow the release of a token in the
+// same write. Otherwise a caller that gives up and retries soon would wait for two writes,
+// give up again, and in a busy partition never succeed.
 //
 // Records are applied in order, so the release frees the key if the last record of the key
 // has the released token. That record can't change before the write, or the write fails.
-func (l *log) freedFor(now time.Time, req Request, token uint64) bool {
+func (l *partitionLog) claimableAfterRelease(now time.Time, req Request, token uint64) bool {
 	if req.Set != Claimed || req.Token == token {
 		return false
 	}
@@ -77,22 +78,22 @@
 	return Record{Key: r.Key, Token: r.Token, State: r.Set, Expires: r.Expires}
 }
 
-// with returns the tail extended by records, ready to be written.
-func (l *log) with(now time.Time, records []Record) Segment {
-	l.forget(now)
+// extendedTail returns the tail extended by records, ready to be written.
+func (l *partitionLog) extendedTail(now time.Time, records []Record) Segment {
+	l.dropExpired(now)
 	s := Segment{Seq: l.tail.Seq, Oldest: l.oldest}
 	s.Records = append(append(s.Records, l.tail.Records...), records...)
 	return s
 }
 
-// adopt makes a segment that was read or written the tail.
-func (l *log) adopt(s Segment, version uint64) {
+// setTail makes a segment that was read or written the tail.
+func (l *partitionLog) setTail(s Segment, version uint64) {
 	l.tail, l.version = s, version
 	l.apply(s)
 }
 
 // apply adds the records of a segment that follows or extends the last one.
-func (l *log) apply(s Segment) {
+func (l *partitionLog) apply(s Segment) {
 	if l.records == nil || len(l.expiries) == 0 {
 		l.oldest = s.Seq
 		l.expiries = nil
@@ -114,7 +115,7 @@
 }
 
 // add applies one record. A release ends only the claim of its own token.
-func (l *log) add(r Record) {
+func (l *partitionLog) add(r Record) {
 	if r.State == Released {
 		l.released[r.Token] = r.Expires
 		if last, known := l.records[r.Key]; known && last.Token != r.Token {
@@ -124,8 +125,9 @@
 	l.records[r.Key] = r
 }
 
-// forget drops expired segments from the front of the log, and expired records with them.
-func (l *log) forget(now time.Time) {
+// dropExpired drops expired segments from the front of the log, and expired records with
+// them.
+func (l *partitionLog) dropExpired(now time.Time) {
 	n := 0
 	for n < len(l.expiries)-1 && expired(l.expiries[n], now) {
 		n++
@@ -147,19 +149,19 @@
 	}
 }
 
-// stored returns the number of segments known to have been written to the store.
-func (l *log) stored() uint64 {
+// segmentCount returns the number of segments known to have been written to the store.
+func (l *partitionLog) segmentCount() uint64 {
 	if len(l.tail.Records) == 0 {
 		return l.tail.Seq
 	}
 	return l.tail.Seq + 1
 }
 
-// latest returns when the last of all records expires.
-func (l *log) latest() time.Time {
+// lastExpiry returns when the last of all records expires.
+func (l *partitionLog) lastExpiry() time.Time {
 	last := uint32(0)
 	for _, e := range l.expiries {
 		last = max(last, e)
 	}
-	return time.Unix(int64(last), 0).Add(clockMargin)
+	return time.Unix(int64(last), 0).Add(maxClockSkew)
 }
--- a/internal/core/claims/range.go
+++ b/internal/core/claims/range.go
@@ -8,34 +8,35 @@
 
 // Write rate, limits and delays of one partition.
 const (
-	// fleetWrites is the number of writes a second that all partitions together may make
+	// fleetWriteRate is the number of writes a second that all partitions together may make
 	// while all of them are busy.
-	fleetWrites = 80
+	fleetWriteRate = 80
 	// WriteInterval is the mean time between the writes of a busy partition. Claims that
 	// arrive in between are written together.
-	WriteInterval = Ranges * time.Second / fleetWrites
+	WriteInterval = Partitions * time.Second / fleetWriteRate
 	// writeBurst is the number of writes that an idle partition may make at once, so that
 	// the few claims of a lightly loaded fleet do not wait for the write interval.
 	writeBurst = 6
-	// doneDelay is how long a Done record waits to be written together with other records.
-	doneDelay = 2 * time.Second
+	// doneBatchDelay is how long a Done record waits to be written together with other
+	// records.
+	doneBatchDelay = 2 * time.Second
 	// maxBatch is the maximum number of records in one write. The last write of a segment
 	// may exceed SegmentRecords by up to this number, so that filling a segment exactly
 	// needs no short write.
 	maxBatch = 256
 	// maxQueue limits the requests that wait in one partition.
 	maxQueue = 1024
-	// firstDelay and maxDelay are the first and the longest backoff after failed calls.
-	firstDelay = 200 * time.Millisecond
-	maxDelay   = 5 * time.Second
+	// minBackoff and maxBackoff are the first and the longest backoff after failed calls.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 	// reloadDelay limits how often a log that changes while it is loaded is loaded again.
 	reloadDelay = 100 * time.Millisecond
-	// fullDelay is how long a full ledger is not checked again.
-	fullDelay = time.Second
-	// syncAge is the maximum age of the state on which a request is answered without a
+	// fullCheckInterval is how long a full ledger is not checked again.
+	fullCheckInterval = time.Second
+	// maxStateAge is the maximum age of the state on which a request is answered without a
 	// write, such as a duplicate. In the meantime, another writer may have released the
 	// key. Claims are granted only on the newest state.
-	syncAge = time.Second
+	maxStateAge = time.Second
 )
 
 // Status is the result of a store call, in the words of the core's events.
@@ -76,18 +77,18 @@
 	// From is the sender that was passed to Add.
 	From  string
 	Reply Reply
-	// Written means that the request was part of at least one write, so that it may be
-	// stored whatever the verdict.
-	Written bool
+	// WriteAttempted means that the request was part of at least one write, so that it may
+	// be stored whatever the verdict.
+	WriteAttempted bool
 }
 
-// entry is a request in the queue or in the batch.
-type entry struct {
-	from    string
-	req     Request
-	added   time.Time
-	until   time.Time
-	written bool
+// queuedRequest is a request in the queue or in the batch.
+type queuedRequest struct {
+	from           string
+	req            Request
+	added          time.Time
+	until          time.Time
+	writeAttempted bool
 }
 
 // phase is the loading phase of a partition.
@@ -98,107 +99,110 @@
 	unloaded phase = iota
 	// searching partitions look for the tail by bisection of the ring.
 	searching
-	// filling partitions read the segments before the tail.
-	filling
+	// replaying partitions read the segments before the tail.
+	replaying
 	// ready partitions have loaded the log up to the tail.
 	ready
 )
 
-// Range grants and refuses the claims on the keys of one partition, based on its log.
+// Partition grants and refuses the claims on the keys of one partition, based on its log.
 //
 // Any number of instances may write to the same partition at once. Routing the requests to
 // one owner only reduces the number of writes.
-type Range struct {
+type Partition struct {
 	random  *rand.Rand
 	phase   phase
-	load    loading
-	log     log
-	queue   []*entry
-	batch   []*entry
+	loading loading
+	log     partitionLog
+	queue   []*queuedRequest
+	batch   []*queuedRequest
 	answers []Answer
-	// calling is the call in flight; there is at most one.
-	calling *Call
-	// unsure is set while the stored tail may differ from the known one.
-	unsure bool
+	// inFlight is the call in flight; there is at most one.
+	inFlight *Call
+	// tailUncertain is set while the stored tail may differ from the known one.
+	tailUncertain bool
 	// advancing is set while the slot after a full tail is being read.
 	advancing bool
 	// syncedAt is when the known log was last equal to the stored one.
 	syncedAt time.Time
-	// nextWrite is when the next write is due under the write rate, and notBefore when the
-	// backoff after a failed call ends.
-	nextWrite time.Time
-	notBefore time.Time
-	failures  int
-	fullUntil time.Time
-	// distrust is the time until which no claim is granted, after the store lost records.
-	distrust time.Time
-	usedAt   time.Time
+	// nextWrite is when the next write is due under the write rate, and backoffUntil when
+	// the backoff after a failed call ends.
+	nextWrite    time.Time
+	backoffUntil time.Time
+	failures     int
+	fullUntil    time.Time
+	// distrustUntil is the time until which no claim is granted, after the store lost
+	// records.
+	distrustUntil time.Time
+	lastUsed      time.Time
 }
 
-// NewRange returns a partition that has not loaded its log yet.
-func NewRange(random *rand.Rand) *Range { return &Range{random: random} }
+// NewPartition returns a partition that has not loaded its log yet.
+func NewPartition(random *rand.Rand) *Partition { return &Partition{random: random} }
 
-// Add queues a request. Take returns its answer, which is Unavailable if there is no other
-// by the time until. Add returns false if the queue is full.
-func (p *Range) Add(now time.Time, from string, req Request, until time.Time) bool {
-	p.usedAt = now
+// Add queues a request. TakeAnswers returns its answer, which is Unavailable if there is
+// no other by the time until. Add returns false if the queue is full.
+func (p *Partition) Add(now time.Time, from string, req Request, until time.Time) bool {
+	p.lastUsed = now
 	if len(p.queue) >= maxQueue {
 		return false
 	}
-	p.queue = append(p.queue, &entry{from: from, req: req, added: now, until: until})
+	p.queue = append(p.queue, &queuedRequest{from: from, req: req, added: now, until: until})
 	return true
 }
 
-// Waits reports whether a request with the token is waiting.
-func (p *Range) Waits(token uint64) bool {
-	hasToken := func(q *entry) bool { return q.req.Token == token }
+// IsPending reports whether a request with the token is waiting.
+func (p *Partition) IsPending(token uint64) bool {
+	hasToken := func(q *queuedRequest) bool { return q.req.Token == token }
 	return slices.ContainsFunc(p.queue, hasToken) || slices.ContainsFunc(p.batch, hasToken)
 }
 
-// Away reports whether the store calls of this partition are in backoff after failures, so
-// that a claim would time out in the queue.
-func (p *Range) Away(now time.Time) bool { return p.failures > 0 && now.Before(p.notBefore) }
+// InBackoff reports whether the store calls of this partition are in backoff after
+// failures, so that a claim would time out in the queue.
+func (p *Partition) InBackoff(now time.Time) bool {
+	return p.failures > 0 && now.Before(p.backoffUntil)
+}
 
 // Idle reports whether no request is waiting and none was added for the duration unused.
 // The log may then be dropped from memory and loaded again later.
-func (p *Range) Idle(now time.Time, unused time.Duration) bool {
-	waits := p.calling != nil || len(p.queue) > 0 || len(p.batch) > 0
-	return !waits && now.Sub(p.usedAt) > unused && !now.Before(p.distrust)
+func (p *Partition) Idle(now time.Time, unused time.Duration) bool {
+	waits := p.inFlight != nil || len(p.queue) > 0 || len(p.batch) > 0
+	return !waits && now.Sub(p.lastUsed) > unused && !now.Before(p.distrustUntil)
 }
 
-// Take returns the answers given since the last call of Take.
-func (p *Range) Take() []Answer {
+// TakeAnswers returns the answers given since it was last called.
+func (p *Partition) TakeAnswers() []Answer {
 	answers := p.answers
 	p.answers = nil
 	return answers
 }
 
-// Step returns the next store call to make, or nil if there is none now. The caller must
-// pass its result to Replied.
-func (p *Range) Step(now time.Time) *Call {
-	if p.calling != nil {
+// NextCall returns the next store call to make, or nil if there is none now. The caller
+// must pass its result to HandleResult.
+func (p *Partition) NextCall(now time.Time) *Call {
+	if p.inFlight != nil {
 		return nil
 	}
-	p.expire(now)
-	if len(p.queue) == 0 || now.Before(p.notBefore) {
+	p.expireRequests(now)
+	if len(p.queue) == 0 || now.Before(p.backoffUntil) {
 		return nil
 	}
 	switch p.phase {
 	case unloaded:
-		p.load = loading{}
+		p.loading = loading{}
 		p.phase = searching
-		p.calling = &Call{Slot: 0}
-	case searching, filling:
-		p.calling = &Call{Slot: p.load.slot(p.phase)}
+		p.inFlight = &Call{Slot: 0}
+	case searching, replaying:
+		p.inFlight = &Call{Slot: p.loading.slot(p.phase)}
 	case ready:
-		p.calling = p.work(now)
+		p.inFlight = p.nextReadyCall(now)
 	}
-	return p.calling
+	return p.inFlight
 }
 
-// work returns the next call of a partition in phase ready.
-func (p *Range) work(now time.Time) *Call {
-	if p.unsure {
+// nextReadyCall returns the next call of a partition in phase ready.
+func (p *Partition) nextReadyCall(now time.Time) *Call {
+	if p.tailUncertain {
 		return &Call{Slot: p.log.tail.slot()}
 	}
 	if p.log.tail.full() {
@@ -209,23 +213,24 @@
 		p.advancing = true
 		return &Call{Slot: slotOf(p.log.tail.Seq + 1)}
 	}
-	records, urgent, stale := p.decide(now)
+	records, urgent, stale := p.buildBatch(now)
 	if stale {
 		return &Call{Slot: p.log.tail.slot()}
 	}
-	if len(records) == 0 || !urgent || !p.paced(now) {
-		p.unbatch()
+	if len(records) == 0 || !urgent || !p.allowWrite(now) {
+		p.requeueBatch()
 		return nil
 	}
 	for _, q := range p.batch {
-		q.written = true
+		q.writeAttempted = true
 	}
-	segment := p.log.with(now, records)
+	segment := p.log.extendedTail(now, records)
 	return &Call{Slot: segment.slot(), Swap: true, Version: p.log.version, Value: segment.Encode()}
 }
 
-// paced reports whether the write rate permits a write now, and counts the write if so.
-func (p *Range) paced(now time.Time) bool {
+// allowWrite reports whether the write rate permits a write now, and counts the write if
+// so.
+func (p *Partition) allowWrite(now time.Time) bool {
 	if now.Before(p.nextWrite.Add(-writeBurst * WriteInterval)) {
 		return false
 	}
@@ -236,13 +241,13 @@
 	return true
 }
 
-// decide answers the requests that need no write and moves those that need one to the
+// buildBatch answers the requests that need no write and moves those that need one to the
 // batch. stale means that a request would have been answered on state that may be out of
 // date.
-func (p *Range) decide(now time.Time) (records []Record, urgent, stale bool) {
+func (p *Partition) buildBatch(now time.Time) (records []Record, urgent, stale bool) {
 	claimed := make(map[KeyHash]bool)
 	released := make(map[KeyHash]uint64)
-	var remaining []*entry
+	var remaining []*queuedRequest
 	for _, q := range p.queue {
 		if claimed[q.req.Key] || len(p.batch) == maxBatch {
 			remaining = append(remaining, q)
@@ -250,14 +255,14 @@
 		}
 		d := p.log.decide(now, q.req)
 		if token, ok := released[q.req.Key]; ok {
-			if !p.log.freedFor(now, q.req, token) {
+			if !p.log.claimableAfterRelease(now, q.req, token) {
 				remaining = append(remaining, q)
 				continue
 			}
 			d = decision{write: true, record: q.req.record()}
 		}
 		switch {
-		case d.write && q.req.Set == Claimed && now.Before(p.distrust):
+		case d.write && q.req.Set == Claimed && now.Before(p.distrustUntil):
 			p.answer(q, Unavailable, 0)
 		case d.write:
 			if q.req.Set == Released {
@@ -267,8 +272,8 @@
 			}
 			p.batch = append(p.batch, q)
 			records = append(records, d.record)
-			urgent = urgent || q.req.Set != Done || now.Sub(q.added) >= doneDelay
-		case now.Sub(p.syncedAt) >= syncAge && (d.verdict != Granted || q.req.Set != Claimed):
+			urgent = urgent || q.req.Set != Done || now.Sub(q.added) >= doneBatchDelay
+		case now.Sub(p.syncedAt) >= maxStateAge && (d.verdict != Granted || q.req.Set != Claimed):
 			stale = true
 			remaining = append(remaining, q)
 		default:
@@ -277,13 +282,13 @@
 	}
 	p.queue = remaining
 	if stale {
-		p.unbatch()
+		p.requeueBatch()
 	}
 	return records, urgent, stale
 }
 
-// unbatch moves the batch back to the head of the queue.
-func (p *Range) unbatch() {
+// requeueBatch moves the batch back to the head of the queue.
+func (p *Partition) requeueBatch() {
 	if len(p.batch) == 0 {
 		return
 	}
@@ -291,8 +296,8 @@
 	p.batch = nil
 }
 
-// expire answers the requests that have waited too long as unavailable.
-func (p *Range) expire(now time.Time) {
+// expireRequests answers the requests that have waited too long as unavailable.
+func (p *Partition) expireRequests(now time.Time) {
 	remaining := p.queue[:0]
 	for _, q := range p.queue {
 		if now.Before(q.until) {
@@ -307,8 +312,8 @@
 
 // refuseFull refuses the queued claims while the ledger is full. Claim ends stay in the
 // queue.
-func (p *Range) refuseFull() {
-	var remaining []*entry
+func (p *Partition) refuseFull() {
+	var remaining []*queuedRequest
 	for _, q := range p.queue {
 		if q.req.Set == Claimed {
 			p.answer(q, Full, 0)
@@ -319,10 +324,10 @@
 	p.queue = remaining
 }
 
-func (p *Range) answer(q *entry, v Verdict, first State) {
+func (p *Partition) answer(q *queuedRequest, v Verdict, first State) {
 	p.answers = append(p.answers, Answer{
-		From:    q.from,
-		Reply:   Reply{Key: q.req.Key, Token: q.req.Token, Set: q.req.Set, Verdict: v, First: first},
-		Written: q.written,
+		From:           q.from,
+		Reply:          Reply{Key: q.req.Key, Token: q.req.Token, Set: q.req.Set, Verdict: v, First: first},
+		WriteAttempted: q.writeAttempted,
 	})
 }
--- a/internal/core/claims/range_test.go
+++ b/internal/core/claims/range_test.go
@@ -12,14 +12,14 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// ring is a fake of the store with the slots of one partition.
-type ring struct {
+// fakeStore is a fake of the store with the slots of one partition.
+type fakeStore struct {
 	values   [claims.Slots][]byte
 	versions [claims.Slots]uint64
 	reads    int
 }
 
-func (s *ring) do(c *claims.Call) claims.Result {
+func (s *fakeStore) handle(c *claims.Call) claims.Result {
 	if !c.Swap {
 		s.reads++
 		if s.versions[c.Slot] == 0 {
@@ -35,49 +35,50 @@
 	return claims.Result{Status: claims.OK, Version: s.versions[c.Slot]}
 }
 
-func newRange() *claims.Range { return claims.NewRange(rand.New(rand.NewPCG(1, 2))) }
+func newPartition() *claims.Partition { return claims.NewPartition(rand.New(rand.NewPCG(1, 2))) }
 
-func ask(key, token uint64, set claims.State, expires time.Time) claims.Request {
+func newRequest(key, token uint64, set claims.State, expires time.Time) claims.Request {
 	return claims.Request{Key: claims.KeyHash{Hi: key}, Token: token, Set: set, Expires: uint32(expires.Unix())}
 }
 
-// settle makes the calls of a partition until there are none left and returns its answers.
-func settle(s *ring, r *claims.Range, now time.Time) []claims.Answer {
+// runCalls makes the calls of a partition until there are none left and returns its
+// answers.
+func runCalls(s *fakeStore, r *claims.Partition, now time.Time) []claims.Answer {
 	var answers []claims.Answer
 	for range 1000 {
-		call := r.Step(now)
-		answers = append(answers, r.Take()...)
+		call := r.NextCall(now)
+		answers = append(answers, r.TakeAnswers()...)
 		if call == nil {
 			break
 		}
-		r.Replied(now, s.do(call))
+		r.HandleResult(now, s.handle(call))
 	}
-	return append(answers, r.Take()...)
+	return append(answers, r.TakeAnswers()...)
 }
 
-// one makes one request and returns its verdict.
-func one(t *testing.T, s *ring, r *claims.Range, now time.Time, req claims.Request) claims.Verdict {
+// requestVerdict makes one request and returns its verdict.
+func requestVerdict(t *testing.T, s *fakeStore, r *claims.Partition, now time.Time, req claims.Request) claims.Verdict {
 	t.Helper()
 	require.True(t, r.Add(now, "", req, now.Add(3*time.Second)))
-	answers := settle(s, r, now)
+	answers := runCalls(s, r, now)
 	for wait := time.Duration(0); len(answers) == 0 && wait < 3*time.Second; wait += 500 * time.Millisecond {
-		answers = settle(s, r, now.Add(wait))
+		answers = runCalls(s, r, now.Add(wait))
 	}
 	require.Len(t, answers, 1)
 	return answers[0].Reply.Verdict
 }
 
-// fill claims n keys, beginning with first, one batch a write, and returns the time after
-// the last write.
-func fill(t *testing.T, s *ring, r *claims.Range, now time.Time, first, n uint64, window time.Duration) time.Time {
+// fillClaims claims n keys, beginning with first, one batch a write, and returns the time
+// after the last write.
+func fillClaims(t *testing.T, s *fakeStore, r *claims.Partition, now time.Time, first, n uint64, window time.Duration) time.Time {
 	t.Helper()
 	for key := first; key < first+n; {
 		batch := min(claims.SegmentRecords, first+n-key)
 		for range batch {
-			require.True(t, r.Add(now, "", ask(key, key, claims.Claimed, now.Add(window)), now.Add(time.Second)))
+			require.True(t, r.Add(now, "", newRequest(key, key, claims.Claimed, now.Add(window)), now.Add(time.Second)))
 			key++
 		}
-		for _, a := range settle(s, r, now) {
+		for _, a := range runCalls(s, r, now) {
 			require.Equal(t, claims.Granted, a.Reply.Verdict)
 		}
 		now = now.Add(claims.WriteInterval)
@@ -87,88 +88,89 @@
 
 // After the log has wrapped around the ring, a new owner must find the tail, every valid
 // claim and no expired one, without reading the whole ring.
-func TestRingGoesRound(t *testing.T) {
-	s := &ring{}
-	r := newRange()
+func TestLoadAfterRingWrapsAround(t *testing.T) {
+	s := &fakeStore{}
+	r := newPartition()
 	const segments = claims.Slots + claims.Slots/2
-	now := fill(t, s, r, start, 1, segments*claims.SegmentRecords, 10*time.Second)
+	now := fillClaims(t, s, r, start, 1, segments*claims.SegmentRecords, 10*time.Second)
 	last := uint64(segments * claims.SegmentRecords)
 
-	fresh := newRange()
+	fresh := newPartition()
 	s.reads = 0
-	require.Equal(t, claims.Duplicate, one(t, s, fresh, now, ask(last, 7, claims.Claimed, now.Add(time.Minute))))
+	require.Equal(t, claims.Duplicate, requestVerdict(t, s, fresh, now, newRequest(last, 7, claims.Claimed, now.Add(time.Minute))))
 	t.Logf("%d reads to load a ring that has wrapped around, with %v of claims", s.reads, 10*time.Second)
 	require.Less(t, s.reads, claims.Slots)
 	now = now.Add(2 * time.Minute)
-	require.Equal(t, claims.Granted, one(t, s, fresh, now, ask(last, 8, claims.Claimed, now.Add(time.Minute))))
-	require.Equal(t, claims.Duplicate, one(t, s, r, now.Add(time.Second), ask(last, 9, claims.Claimed, now.Add(time.Minute))),
+	require.Equal(t, claims.Granted, requestVerdict(t, s, fresh, now, newRequest(last, 8, claims.Claimed, now.Add(time.Minute))))
+	require.Equal(t, claims.Duplicate, requestVerdict(t, s, r, now.Add(time.Second), newRequest(last, 9, claims.Claimed, now.Add(time.Minute))),
 		"the old owner's tail is stale")
 }
 
 // A ledger that is too small for its load must refuse claims rather than drop valid ones.
-func TestAFullRingRefuses(t *testing.T) {
-	s := &ring{}
-	r := newRange()
-	now := fill(t, s, r, start, 1, claims.Slots*claims.SegmentRecords, time.Hour)
+func TestFullLedgerRefusesClaims(t *testing.T) {
+	s := &fakeStore{}
+	r := newPartition()
+	now := fillClaims(t, s, r, start, 1, claims.Slots*claims.SegmentRecords, time.Hour)
 	now = now.Add(time.Second)
-	require.Equal(t, claims.Full, one(t, s, r, now, ask(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
-	require.Equal(t, claims.Full, one(t, s, newRange(), now, ask(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
+	require.Equal(t, claims.Full, requestVerdict(t, s, r, now, newRequest(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
+	require.Equal(t, claims.Full, requestVerdict(t, s, newPartition(), now, newRequest(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
 	now = start.Add(2 * time.Hour)
-	require.Equal(t, claims.Granted, one(t, s, r, now, ask(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
+	require.Equal(t, claims.Granted, requestVerdict(t, s, r, now, newRequest(1<<40, 1, claims.Claimed, now.Add(time.Hour))))
 }
 
 // The store is restored from an old copy that lacks a claim, and the request with its key
 // runs twice. An instance that has seen the newer log detects the loss and refuses claims
 // until the lost ones have expired. An instance that has not can't detect it (not handled,
 // see docs/design/claims.md).
-func TestAStoreThatLostClaimsIsNotTrusted(t *testing.T) {
-	s := &ring{}
-	r := newRange()
-	require.Equal(t, claims.Granted, one(t, s, r, start, ask(1, 1, claims.Claimed, start.Add(time.Minute))))
+func TestClaimsRefusedAfterStoreLosesRecords(t *testing.T) {
+	s := &fakeStore{}
+	r := newPartition()
+	require.Equal(t, claims.Granted, requestVerdict(t, s, r, start, newRequest(1, 1, claims.Claimed, start.Add(time.Minute))))
 	copied := *s
 	now := start.Add(time.Second)
-	require.Equal(t, claims.Granted, one(t, s, r, now, ask(2, 2, claims.Claimed, now.Add(time.Minute))))
+	require.Equal(t, claims.Granted, requestVerdict(t, s, r, now, newRequest(2, 2, claims.Claimed, now.Add(time.Minute))))
 	*s = copied
 	now = now.Add(time.Second)
-	require.Equal(t, claims.Unavailable, one(t, s, r, now, ask(2, 3, claims.Claimed, now.Add(time.Minute))))
+	require.Equal(t, claims.Unavailable, requestVerdict(t, s, r, now, newRequest(2, 3, claims.Claimed, now.Add(time.Minute))))
 	now = now.Add(2 * time.Minute)
-	require.Equal(t, claims.Granted, one(t, s, r, now, ask(2, 4, claims.Claimed, now.Add(time.Minute))))
+	require.Equal(t, claims.Granted, requestVerdict(t, s, r, now, newRequest(2, 4, claims.Claimed, now.Add(time.Minute))))
 }
 
-func TestEndsOfClaims(t *testing.T) {
+func TestClaimTransitions(t *testing.T) {
 	until := start.Add(time.Minute)
 	tests := map[string]struct {
 		before []claims.Request
 		ask    claims.Request
 		want   claims.Verdict
 	}{
-		"the same token again":             {[]claims.Request{ask(1, 1, claims.Claimed, until)}, ask(1, 1, claims.Claimed, until), claims.Granted},
-		"another token":                    {[]claims.Request{ask(1, 1, claims.Claimed, until)}, ask(1, 2, claims.Claimed, until), claims.Duplicate},
-		"another token after the release":  {[]claims.Request{ask(1, 1, claims.Claimed, until), ask(1, 1, claims.Released, until)}, ask(1, 2, claims.Claimed, until), claims.Granted},
-		"the same token after its release": {[]claims.Request{ask(1, 1, claims.Claimed, until), ask(1, 1, claims.Released, until)}, ask(1, 1, claims.Claimed, until), claims.Unavailable},
-		"a claim that comes after its release": {[]claims.Request{ask(1, 1, claims.Released, until), ask(1, 2, claims.Claimed, until), ask(1, 2, claims.Released, until)},
-			ask(1, 1, claims.Claimed, until), claims.Unavailable},
-		"another's release": {[]claims.Request{ask(1, 1, claims.Claimed, until), ask(1, 2, claims.Released, until)}, ask(1, 3, claims.Claimed, until), claims.Duplicate},
-		"a release after the answer": {[]claims.Request{ask(1, 1, claims.Claimed, until), ask(1, 1, claims.Done, until), ask(1, 1, claims.Released, until)},
-			ask(1, 2, claims.Claimed, until), claims.Duplicate},
+		"the same token again":             {[]claims.Request{newRequest(1, 1, claims.Claimed, until)}, newRequest(1, 1, claims.Claimed, until), claims.Granted},
+		"another token":                    {[]claims.Request{newRequest(1, 1, claims.Claimed, until)}, newRequest(1, 2, claims.Claimed, until), claims.Duplicate},
+		"another token after the release":  {[]claims.Request{newRequest(1, 1, claims.Claimed, until), newRequest(1, 1, claims.Released, until)}, newRequest(1, 2, claims.Claimed, until), claims.Granted},
+		"the same token after its release": {[]claims.Request{newRequest(1, 1, claims.Claimed, until), newRequest(1, 1, claims.Released, until)}, newRequest(1, 1, claims.Claimed, until), claims.Unavailable},
+		"a claim that comes after its release": {[]claims.Request{newRequest(1, 1, claims.Released, until), newRequest(1, 2, claims.Claimed, until), newRequest(1, 2, claims.Released, until)},
+			newRequest(1, 1, claims.Claimed, until), claims.Unavailable},
+		"another's release": {[]claims.Request{newRequest(1, 1, claims.Claimed, until), newRequest(1, 2, claims.Released, until)}, newRequest(1, 3, claims.Claimed, until), claims.Duplicate},
+		"a release after the answer": {[]claims.Request{newRequest(1, 1, claims.Claimed, until), newRequest(1, 1, claims.Done, until), newRequest(1, 1, claims.Released, until)},
+			newRequest(1, 2, claims.Claimed, until), claims.Duplicate},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, now := &ring{}, start
+			s, now := &fakeStore{}, start
 			for _, req := range tt.before {
 				now = now.Add(3 * time.Second)
-				require.True(t, newRangeOf(s, now, req))
+				require.True(t, executeOnNewPartition(s, now, req))
 			}
-			require.Equal(t, tt.want, one(t, s, newRange(), now.Add(time.Second), tt.ask))
+			require.Equal(t, tt.want, requestVerdict(t, s, newPartition(), now.Add(time.Second), tt.ask))
 		})
 	}
 }
 
-// newRangeOf executes one request on a new partition and reports whether it was granted.
-func newRangeOf(s *ring, now time.Time, req claims.Request) bool {
-	r := newRange()
+// executeOnNewPartition executes one request on a new partition and reports whether it was
+// granted.
+func executeOnNewPartition(s *fakeStore, now time.Time, req claims.Request) bool {
+	r := newPartition()
 	r.Add(now.Add(-3*time.Second), "", req, now.Add(time.Second))
-	answers := settle(s, r, now)
+	answers := runCalls(s, r, now)
 	return len(answers) == 1 && answers[0].Reply.Verdict == claims.Granted
 }
 
@@ -188,28 +190,28 @@
 // A caller gives up after half a second and retries. Each retry waits for the release of
 // the previous attempt, which takes a write, and then for its own claim. In a busy
 // partition that exceeds the caller's timeout, so that the request never runs. A release
-// and the next claim must share one write. A second claim of the key waits, and the
-// release of another token does not free the key.
+// and the next claim must share one write. A second release or claim of the key waits, and
+// the release of another token does not free the key.
 func TestReleaseAndNextClaimShareAWrite(t *testing.T) {
-	s, r := &ring{}, newRange()
+	s, r := &fakeStore{}, newPartition()
 	expires, until := start.Add(time.Hour), start.Add(time.Minute)
-	require.Equal(t, claims.Granted, one(t, s, r, start, ask(1, 10, claims.Claimed, expires)))
-	require.Equal(t, claims.Granted, one(t, s, r, start, ask(2, 20, claims.Claimed, expires)))
+	require.Equal(t, claims.Granted, requestVerdict(t, s, r, start, newRequest(1, 10, claims.Claimed, expires)))
+	require.Equal(t, claims.Granted, requestVerdict(t, s, r, start, newRequest(2, 20, claims.Claimed, expires)))
 	before := s.versions[0]
 
 	for _, req := range []claims.Request{
-		ask(1, 10, claims.Released, expires), ask(1, 11, claims.Claimed, expires), ask(1, 12, claims.Claimed, expires),
-		ask(2, 99, claims.Released, expires), ask(2, 21, claims.Claimed, expires),
+		newRequest(1, 10, claims.Released, expires), newRequest(1, 11, claims.Claimed, expires), newRequest(1, 12, claims.Claimed, expires),
+		newRequest(2, 99, claims.Released, expires), newRequest(2, 21, claims.Claimed, expires),
 	} {
 		require.True(t, r.Add(start, "", req, until))
 	}
 	verdicts := make(map[uint64]claims.Verdict)
-	for _, a := range settle(s, r, start) {
+	for _, a := range runCalls(s, r, start) {
 		verdicts[a.Reply.Token] = a.Reply.Verdict
 	}
 	require.Equal(t, before+1, s.versions[0], "one write")
 	require.Equal(t, map[uint64]claims.Verdict{
 		10: claims.Granted, 11: claims.Granted, 12: claims.Duplicate, 99: claims.Granted, 21: claims.Duplicate,
 	}, verdicts)
-	require.Equal(t, claims.Duplicate, one(t, s, newRange(), start, ask(1, 13, claims.Claimed, expires)), "after the log is loaded again")
+	require.Equal(t, claims.Duplicate, requestVerdict(t, s, newPartition(), start, newRequest(1, 13, claims.Claimed, expires)), "after the log is loaded again")
 }
--- a/internal/core/claims/segment.go
+++ b/internal/core/claims/segment.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// clockMargin is the maximum difference between the clocks of two instances. Records stay
+// maxClockSkew is the maximum difference between the clocks of two instances. Records stay
 // valid for this long after their expiry.
-const clockMargin = 30 * time.Second
+const maxClockSkew = 30 * time.Second
 
 // Record is one entry of the log. The last record of a key determines its state.
 type Record struct {
@@ -23,7 +23,7 @@
 func (r Record) expired(now time.Time) bool { return expired(r.Expires, now) }
 
 func expired(expires uint32, now time.Time) bool {
-	return now.Add(-clockMargin).Unix() > int64(expires)
+	return now.Add(-maxClockSkew).Unix() > int64(expires)
 }
 
 // Segment is the content of one slot.
@@ -53,10 +53,10 @@
 
 // Binary encoding: a version byte, Seq, Oldest, then the records.
 const (
-	formVersion  = 1
-	headerBytes  = 1 + 8 + 8
-	recordBytes  = 8 + 8 + 8 + 1 + 4
-	segmentBytes = headerBytes + (SegmentRecords+maxBatch)*recordBytes
+	encodingVersion = 1
+	headerBytes     = 1 + 8 + 8
+	recordBytes     = 8 + 8 + 8 + 1 + 4
+	segmentBytes    = headerBytes + (SegmentRecords+maxBatch)*recordBytes
 )
 
 // ErrSegment means that a store value is not a valid segment.
@@ -65,7 +65,7 @@
 // Encode returns the store value of the segment.
 func (s *Segment) Encode() []byte {
 	b := make([]byte, 0, headerBytes+len(s.Records)*recordBytes)
-	b = append(b, formVersion)
+	b = append(b, encodingVersion)
 	b = binary.BigEndian.AppendUint64(b, s.Seq)
 	b = binary.BigEndian.AppendUint64(b, s.Oldest)
 	for _, r := range s.Records {
@@ -80,7 +80,7 @@
 
 // Decode parses a store value.
 func Decode(b []byte) (Segment, error) {
-	if len(b) < headerBytes || len(b) > segmentBytes || b[0] != formVersion || (len(b)-headerBytes)%recordBytes != 0 {
+	if len(b) < headerBytes || len(b) > segmentBytes || b[0] != encodingVersion || (len(b)-headerBytes)%recordBytes != 0 {
 		return Segment{}, ErrSegment
 	}
 	s := Segment{Seq: binary.BigEndian.Uint64(b[1:]), Oldest: binary.BigEndian.Uint64(b[9:])}
--- a/internal/core/codec.go
+++ b/internal/core/codec.go
@@ -23,8 +23,8 @@
 	return m
 }()
 
-// line is the stable JSON encoding of an event or effect in a session file.
-type line struct {
+// sessionLine is the stable JSON encoding of an event or effect in a session file.
+type sessionLine struct {
 	At     time.Time       `json:"at,omitzero"`
 	Event  string          `json:"event,omitempty"`
 	Effect string          `json:"effect,omitempty"`
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("core: encode %s: %w", e.EventName(), err)
 	}
-	return json.Marshal(line{At: at, Event: e.EventName(), Data: data})
+	return json.Marshal(sessionLine{At: at, Event: e.EventName(), Data: data})
 }
 
 // EncodeEffect encodes an effect as a line of a session file.
@@ -46,12 +46,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("core: encode %s: %w", e.EffectName(), err)
 	}
-	return json.Marshal(line{Effect: e.EffectName(), Data: data})
+	return json.Marshal(sessionLine{Effect: e.EffectName(), Data: data})
 }
 
 // DecodeEvent decodes a line written by EncodeEvent.
 func DecodeEvent(text []byte) (time.Time, Event, error) {
-	var l line
+	var l sessionLine
 	if err := json.Unmarshal(text, &l); err != nil {
 		return time.Time{}, nil, fmt.Errorf("core: decode session line: %w", err)
 	}
--- a/internal/core/codec_test.go
+++ b/internal/core/codec_test.go
@@ -13,10 +13,10 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// TestEveryEventIsReadBack decodes and re-encodes a line of each event that event.go
+// TestEveryEventRoundTrips decodes and re-encodes a line of each event that event.go
 // declares. An event missing from eventTypes can be recorded, and the fault would show only
 // when a session file with it is replayed.
-func TestEveryEventIsReadBack(t *testing.T) {
+func TestEveryEventRoundTrips(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "event.go", nil, 0)
 	require.NoError(t, err)
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
--- a/internal/core/coldstart_test.go
+++ b/internal/core/coldstart_test.go
@@ -11,29 +11,29 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// coldFleet starts instances that know no peers, all within 300 ms. The engines join during
+// newColdFleet starts instances that know no peers, all within 300 ms. The engines join during
 // the first four seconds, and the operators write the configuration after 3.5 seconds.
-func coldFleet(seed uint64, instances, zones, engines int) *fleet {
-	f := emptyFleet(seed, instances, zones)
-	f.registers = true
-	for _, m := range f.members {
-		f.after(time.Duration(f.random.Int64N(int64(300*time.Millisecond))), func() { f.boot(m, "") })
+func newColdFleet(seed uint64, instances, zones, engines int) *fleet {
+	f := newStoppedFleet(seed, instances, zones)
+	f.selfRegister = true
+	for _, m := range f.instances {
+		f.schedule(time.Duration(f.random.Int64N(int64(300*time.Millisecond))), func() { f.boot(m, "") })
 	}
 	for i := range engines {
-		f.after(time.Duration(f.random.Int64N(int64(4*time.Second))), func() {
+		f.schedule(time.Duration(f.random.Int64N(int64(4*time.Second))), func() {
 			f.store.putEntry(fmt.Sprintf("engine-%d", i), engineEntry(i, membership.Live))
 		})
 	}
-	f.after(3500*time.Millisecond, func() { f.put(1, "first", entriesText) })
+	f.schedule(3500*time.Millisecond, func() { f.putConfig(1, "first", entriesText) })
 	return f
 }
 
-// serving returns the number of instances that have the configuration and know that many
+// servingCount returns the number of instances that have the configuration and know that many
 // engines.
-func (f *fleet) serving(engines int) int {
+func (f *fleet) servingCount(engines int) int {
 	count := 0
-	for _, m := range f.members {
-		if m.generation == 1 && m.usable() == engines {
+	for _, m := range f.instances {
+		if m.generation == 1 && m.usableEngines() == engines {
 			count++
 		}
 	}
@@ -44,26 +44,26 @@
 // other. Each instance followed the store itself, and each engine and instance that joined
 // ended its watch: 27 calls per instance before the first request, and the operators pay for
 // each.
-func TestAFleetStartsWithFewCalls(t *testing.T) {
+func TestColdStartNeedsFewStoreCalls(t *testing.T) {
 	for _, size := range []struct{ instances, zones, engines int }{{8, 3, 15}, {18, 5, 41}, {60, 5, 60}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
-			f := coldFleet(1, size.instances, size.zones, size.engines)
+			f := newColdFleet(1, size.instances, size.zones, size.engines)
 			f.run(9 * time.Second)
-			require.Equal(t, size.instances, f.serving(size.engines), "all instances serve a second before the first requests")
-			t.Logf("%.1f calls per instance: %v", f.price/float64(size.instances), f.calls)
+			require.Equal(t, size.instances, f.servingCount(size.engines), "all instances serve a second before the first requests")
+			t.Logf("%.1f calls per instance: %v", f.storeCost/float64(size.instances), f.calls)
 			// In a small fleet, the calls of the followers are divided among few instances.
-			require.Less(t, f.price, 4*float64(size.instances)+60)
+			require.Less(t, f.storeCost, 4*float64(size.instances)+60)
 		})
 	}
 }
 
-// settledFleet returns a fleet after a cold start, when all instances serve.
-func settledFleet(t *testing.T, instances, zones, engines int) *fleet {
+// newSettledFleet returns a fleet after a cold start, when all instances serve.
+func newSettledFleet(t *testing.T, instances, zones, engines int) *fleet {
 	t.Helper()
-	f := coldFleet(1, instances, zones, engines)
+	f := newColdFleet(1, instances, zones, engines)
 	f.run(14 * time.Second)
-	require.Equal(t, instances, f.serving(engines))
-	f.price = 0
+	require.Equal(t, instances, f.servingCount(engines))
+	f.storeCost = 0
 	clear(f.calls)
 	return f
 }
@@ -71,22 +71,22 @@
 // Guards against excessive store calls when instances are replaced one after the other while
 // the fleet runs. Each took a lease, wrote an entry and read everything that its peers know:
 // five calls, although its old entry still exists and the peers can pass the rest on.
-func TestARestartCostsFewCalls(t *testing.T) {
-	f := settledFleet(t, 18, 5, 41)
+func TestRollingRestartNeedsFewStoreCalls(t *testing.T) {
+	f := newSettledFleet(t, 18, 5, 41)
 	f.run(10 * time.Second)
-	quiet := f.price
-	f.price = 0
+	quiet := f.storeCost
+	f.storeCost = 0
 	clear(f.calls)
-	for i, m := range f.members[:10] {
-		f.after(time.Duration(i)*time.Second, func() { f.boot(m, "") })
+	for i, m := range f.instances[:10] {
+		f.schedule(time.Duration(i)*time.Second, func() { f.boot(m, "") })
 	}
 	f.run(10 * time.Second)
 	f.run(3 * time.Second)
-	require.Equal(t, 18, f.serving(41))
-	t.Logf("ten restarts: %.1f calls, against %.1f in the ten quiet seconds before: %v", f.price, quiet, f.calls)
+	require.Equal(t, 18, f.servingCount(41))
+	t.Logf("ten restarts: %.1f calls, against %.1f in the ten quiet seconds before: %v", f.storeCost, quiet, f.calls)
 	require.Zero(t, f.calls["register"])
 	require.Zero(t, f.calls["list-backends"])
-	require.Less(t, f.price, 1.3*quiet+30, "three calls per restart, including those of followers, beyond those of the quiet seconds")
+	require.Less(t, f.storeCost, 1.3*quiet+30, "three calls per restart, including those of followers, beyond those of the quiet seconds")
 }
 
 // Guards against redundant digests when all instances start at once, and when all restart
@@ -94,21 +94,21 @@
 // from its own links. Forwarding these changes from each instance to each other one used up
 // links and processors, at some hundreds of instances, in the very second in which callers
 // wait.
-func TestNobodyIsToldWhatAStartOfAllTellsEverybody(t *testing.T) {
+func TestFleetStartSendsNoRedundantMemberChanges(t *testing.T) {
 	const instances = 60
-	f := coldFleet(1, instances, 5, 12)
+	f := newColdFleet(1, instances, 5, 12)
 	f.run(14 * time.Second)
-	require.Equal(t, instances, f.serving(12))
+	require.Equal(t, instances, f.servingCount(12))
 	t.Logf("start of all instances: %d member changes sent", f.calls["member-told"])
 	// Some instances join too late for the first lists of others, which receive them in
 	// digests.
 	require.Less(t, f.calls["member-told"], 10*instances)
 	clear(f.calls)
-	for _, m := range f.members {
+	for _, m := range f.instances {
 		f.boot(m, "")
 	}
 	f.run(10 * time.Second)
-	require.Equal(t, instances, f.serving(12))
+	require.Equal(t, instances, f.servingCount(12))
 	t.Logf("restart of all instances: %d member changes sent", f.calls["member-told"])
 	require.Less(t, f.calls["member-told"], instances)
 }
@@ -117,12 +117,12 @@
 // stops and starts again under its name, with its old entry still in the store. Its peers
 // know it as leaving, which is final within one incarnation, so they must learn that this is
 // a new incarnation.
-func TestAnInstanceThatLeftIsBackUnderItsOldEntry(t *testing.T) {
-	f := settledFleet(t, 18, 5, 5)
-	restarted := f.members[3]
+func TestRestartedInstanceRejoinsWithOldEntry(t *testing.T) {
+	f := newSettledFleet(t, 18, 5, 5)
+	restarted := f.instances[3]
 	f.deliver(restarted, core.StopRequested{})
 	f.run(2 * time.Second)
-	live := func(m *member) bool {
+	live := func(m *fakeInstance) bool {
 		for _, in := range m.node.Status().Instances {
 			if in.Name == restarted.name {
 				return in.State == membership.Live
@@ -130,10 +130,10 @@
 		}
 		return false
 	}
-	require.False(t, live(f.members[0]))
+	require.False(t, live(f.instances[0]))
 	f.boot(restarted, "")
 	f.run(5 * time.Second)
-	for _, m := range f.members {
+	for _, m := range f.instances {
 		require.True(t, m == restarted || live(m), "%s has it as live again", m.name)
 	}
 	require.Zero(t, f.calls["register"])
@@ -142,21 +142,21 @@
 // Guards against refusals after a power loss of the whole fleet, when callers cannot be sent
 // elsewhere. An instance that waits for its peers to collect its data refuses requests for
 // seconds; with a call of its own to the store it serves within 400 ms.
-func TestCallersDoNotWaitForPeersAfterALossOfPower(t *testing.T) {
-	f := settledFleet(t, 18, 5, 41)
-	for _, m := range f.members {
+func TestInstancesServeSoonAfterFleetPowerLoss(t *testing.T) {
+	f := newSettledFleet(t, 18, 5, 41)
+	for _, m := range f.instances {
 		f.boot(m, "")
 		for i := range 10 {
-			f.after(time.Duration(i)*50*time.Millisecond, func() { f.askPlain(m) })
+			f.schedule(time.Duration(i)*50*time.Millisecond, func() { f.requestUnclaimed(m) })
 		}
 	}
 	f.run(400 * time.Millisecond)
-	require.Equal(t, 18, f.serving(41))
+	require.Equal(t, 18, f.servingCount(41))
 }
 
-// askPlain sends a request that needs no claim.
-func (f *fleet) askPlain(m *member) {
-	request := &sent{id: core.RequestID(fmt.Sprintf("plain-%d", len(f.requests))), at: f.now, by: m, incarnation: m.incarnation}
+// requestUnclaimed sends a request that needs no claim.
+func (f *fleet) requestUnclaimed(m *fakeInstance) {
+	request := &callerRequest{id: core.RequestID(fmt.Sprintf("plain-%d", len(f.requests))), at: f.now, instance: m, incarnation: m.incarnation}
 	f.requests[request.id] = request
 	f.deliver(m, core.RequestArrived{Request: request.id, Customer: "branch", Service: "engines"})
 }
--- a/internal/core/config/check.go
+++ b/internal/core/config/check.go
@@ -21,20 +21,20 @@
 
 // Limits on the configuration text.
 const (
-	// MaxEncoded is the maximum size of the text in bytes, as encoded in the JSON
+	// MaxEncodedBytes is the maximum size of the text in bytes, as encoded in the JSON
 	// envelope. The platform's store holds values of up to a megabyte.
-	MaxEncoded = 1_000_000 - 1_000
-	// MaxName is the maximum length of a name in bytes. Names are used in headers and
+	MaxEncodedBytes = 1_000_000 - 1_000
+	// MaxNameBytes is the maximum length of a name in bytes. Names are used in headers and
 	// labels.
-	MaxName = 64
+	MaxNameBytes = 64
 	// MaxServices limits the services and thereby the work of resolving their
 	// dependencies.
 	MaxServices = 1_000
 	// MaxAttemptsLimit is the maximum of max_attempts.
 	MaxAttemptsLimit = 10
-	// MinWindow is the minimum claim window. It leaves a request with a key time to run
-	// before its claim expires.
-	MinWindow = 15 * time.Second
+	// MinClaimWindow is the minimum claim window. It leaves a request with a key time to
+	// run before its claim expires.
+	MinClaimWindow = 15 * time.Second
 )
 
 var (
@@ -45,7 +45,7 @@
 // Check parses and validates the text of an envelope. The error is of type Findings and
 // holds every finding, in the order of the text.
 func Check(file string, env Envelope) (*Snapshot, error) {
-	if problem := unfit(env.Text); problem != "" {
+	if problem := storageProblem(env.Text); problem != "" {
 		return nil, Findings{{File: file, Line: 1, Column: 1, What: problem}}
 	}
 	doc, err := jsonc.Parse(file, []byte(env.Text))
@@ -55,13 +55,13 @@
 	var t Text
 	doc.Decode(&t)
 	c := checker{doc: doc, text: &t, services: make(map[string]int), backends: make(map[string]string)}
-	c.checkGiven()
+	c.checkExplicitValues()
 	fillDefaults(&t)
 	c.check()
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
-	return compile(env, t), nil
+	return newSnapshot(env, t), nil
 }
 
 // CheckText validates a configuration that was read from another format, such as the
@@ -78,7 +78,7 @@
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
-	return compile(env, t), nil
+	return newSnapshot(env, t), nil
 }
 
 // Defaults returns the configuration of one service and one customer with all optional
@@ -89,14 +89,14 @@
 	return t
 }
 
-// unfit returns why a text can't be stored, or "" if it can.
-func unfit(text string) string {
+// storageProblem returns why a text can't be stored, or "" if it can.
+func storageProblem(text string) string {
 	if !utf8.ValidString(text) {
 		return "bytes that are not UTF-8, expected UTF-8 text"
 	}
 	encoded, _ := json.Marshal(text)
-	if len(encoded) > MaxEncoded {
-		return fmt.Sprintf("text takes %d bytes in the store, expected at most %d", len(encoded), MaxEncoded)
+	if len(encoded) > MaxEncodedBytes {
+		return fmt.Sprintf("text takes %d bytes in the store, expected at most %d", len(encoded), MaxEncodedBytes)
 	}
 	return ""
 }
@@ -111,29 +111,29 @@
 	backends map[string]string
 }
 
-// checkGiven finds explicit numbers that are out of range. It runs before defaults replace
-// the omitted ones.
-func (c *checker) checkGiven() {
+// checkExplicitValues finds explicit numbers that are out of range. It runs before
+// defaults replace the omitted ones.
+func (c *checker) checkExplicitValues() {
 	for i := range c.text.Services {
 		s := &c.text.Services[i]
-		path := at("services", i)
-		c.positive(path+".skew_bound", s.SkewBound)
-		c.positive(path+".capacity", float64(s.Capacity))
-		c.positive(path+".max_attempts", float64(s.MaxAttempts))
-		c.positive(path+".deadline", float64(s.Deadline))
+		path := elementPath("services", i)
+		c.checkPositive(path+".skew_bound", s.SkewBound)
+		c.checkPositive(path+".capacity", float64(s.Capacity))
+		c.checkPositive(path+".max_attempts", float64(s.MaxAttempts))
+		c.checkPositive(path+".deadline", float64(s.Deadline))
 		// 0 would be treated as omitted. max_attempts 1 disables retries.
-		c.positive(path+".retry_share", s.RetryShare)
+		c.checkPositive(path+".retry_share", s.RetryShare)
 	}
 	for i := range c.text.Customers {
-		c.positive(at("customers", i)+".weight", c.text.Customers[i].Weight)
+		c.checkPositive(elementPath("customers", i)+".weight", c.text.Customers[i].Weight)
 	}
-	c.positive("claims.window", float64(c.text.Claims.Window))
-	c.positive("limits.max_header", float64(c.text.Limits.MaxHeader))
-	c.positive("limits.max_body", float64(c.text.Limits.MaxBody))
+	c.checkPositive("claims.window", float64(c.text.Claims.Window))
+	c.checkPositive("limits.max_header", float64(c.text.Limits.MaxHeader))
+	c.checkPositive("limits.max_body", float64(c.text.Limits.MaxBody))
 }
 
-// positive adds a finding if the value is present in the text and 0 or less.
-func (c *checker) positive(path string, value float64) {
+// checkPositive adds a finding if the value is present in the text and 0 or less.
+func (c *checker) checkPositive(path string, value float64) {
 	if value <= 0 && c.doc.Has(path) {
 		c.doc.Add(path, "%s must be above 0", lastField(path))
 	}
@@ -152,7 +152,7 @@
 	}
 	c.checkNames()
 	for i := range c.text.Services {
-		c.checkService(at("services", i), &c.text.Services[i])
+		c.checkService(elementPath("services", i), &c.text.Services[i])
 	}
 	c.checkModels()
 	c.checkCycles()
@@ -165,10 +165,10 @@
 func (c *checker) checkNames() {
 	for i := range c.text.Services {
 		s := &c.text.Services[i]
-		path := at("services", i)
-		c.name(path+".name", s.Name)
+		path := elementPath("services", i)
+		c.checkName(path+".name", s.Name)
 		if first, ok := c.services[s.Name]; ok && s.Name != "" {
-			c.doc.Add(path+".name", "service %q is already declared at %s", s.Name, c.where(at("services", first)+".name"))
+			c.doc.Add(path+".name", "service %q is already declared at %s", s.Name, c.position(elementPath("services", first)+".name"))
 			continue
 		}
 		c.services[s.Name] = i
@@ -184,23 +184,23 @@
 	}
 	for i, name := range s.DependsOn {
 		if _, ok := c.services[name]; !ok {
-			c.doc.Add(at(path+".depends_on", i), "unknown service %q, expected a service of this text", name)
+			c.doc.Add(elementPath(path+".depends_on", i), "unknown service %q, expected a service of this text", name)
 		}
 	}
 	for i := range s.BackendServers {
-		c.checkBackend(at(path+".backend_servers", i), &s.BackendServers[i])
+		c.checkBackend(elementPath(path+".backend_servers", i), &s.BackendServers[i])
 	}
 	c.checkLimits(path, s)
 }
 
 func (c *checker) checkBackend(path string, b *BackendServer) {
-	c.name(path+".name", b.Name)
+	c.checkName(path+".name", b.Name)
 	if first, ok := c.backends[b.Name]; ok && b.Name != "" {
-		c.doc.Add(path+".name", "backend server %q is already declared at %s, expected names unique in the fleet", b.Name, c.where(first))
+		c.doc.Add(path+".name", "backend server %q is already declared at %s, expected names unique in the fleet", b.Name, c.position(first))
 	} else {
 		c.backends[b.Name] = path + ".name"
 	}
-	c.name(path+".zone", b.Zone)
+	c.checkName(path+".zone", b.Zone)
 	if addr, err := netip.ParseAddrPort(b.Address); err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
 		c.doc.Add(path+".address", "address %q, expected IP:port such as 10.0.0.1:8000", b.Address)
 	}
@@ -228,7 +228,7 @@
 	owners := make(map[string]string)
 	for i := range c.text.Services {
 		s := &c.text.Services[i]
-		path := at("services", i)
+		path := elementPath("services", i)
 		if s.Kind == Plain && len(s.Models) > 0 {
 			c.doc.Add(path+".models", "models on the plain service %q, expected none", s.Name)
 		}
@@ -236,21 +236,21 @@
 			continue
 		}
 		if len(s.Models) == 0 {
-			c.model(owners, path+".name", s.Name)
+			c.checkModel(owners, path+".name", s.Name)
 		}
 		for j, m := range s.Models {
-			c.model(owners, at(path+".models", j), m)
+			c.checkModel(owners, elementPath(path+".models", j), m)
 		}
 	}
 }
 
-func (c *checker) model(owners map[string]string, path, model string) {
-	if len(model) > MaxName || !modelPattern.MatchString(model) {
-		c.doc.Add(path, "model name %q, expected up to %d letters, digits and ._:/@-", model, MaxName)
+func (c *checker) checkModel(owners map[string]string, path, model string) {
+	if len(model) > MaxNameBytes || !modelPattern.MatchString(model) {
+		c.doc.Add(path, "model name %q, expected up to %d letters, digits and ._:/@-", model, MaxNameBytes)
 		return
 	}
 	if first, ok := owners[model]; ok {
-		c.doc.Add(path, "model %q is already declared at %s", model, c.where(first))
+		c.doc.Add(path, "model %q is already declared at %s", model, c.position(first))
 		return
 	}
 	owners[model] = path
@@ -261,10 +261,10 @@
 	keys := make(map[string]string)
 	for i := range c.text.Customers {
 		customer := &c.text.Customers[i]
-		path := at("customers", i)
-		c.name(path+".name", customer.Name)
+		path := elementPath("customers", i)
+		c.checkName(path+".name", customer.Name)
 		if first, ok := seen[customer.Name]; ok && customer.Name != "" {
-			c.doc.Add(path+".name", "customer %q is already declared at %s", customer.Name, c.where(at("customers", first)+".name"))
+			c.doc.Add(path+".name", "customer %q is already declared at %s", customer.Name, c.position(elementPath("customers", first)+".name"))
 		} else {
 			seen[customer.Name] = i
 		}
@@ -279,13 +279,13 @@
 // contain the key, since findings are printed and logged.
 func (c *checker) checkKeys(path string, list []string, keys map[string]string) {
 	for i, key := range list {
-		where := at(path, i)
+		where := elementPath(path, i)
 		if key == "" {
 			c.doc.Add(where, "empty API key")
 			continue
 		}
 		if first, ok := keys[key]; ok {
-			c.doc.Add(where, "API key already given at %s", c.where(first))
+			c.doc.Add(where, "API key already given at %s", c.position(first))
 			continue
 		}
 		keys[key] = where
@@ -293,23 +293,23 @@
 }
 
 func (c *checker) checkClaims() {
-	if window := time.Duration(c.text.Claims.Window); window > 0 && window < MinWindow {
-		c.doc.Add("claims.window", "window %s, expected at least %s", window, MinWindow)
+	if window := time.Duration(c.text.Claims.Window); window > 0 && window < MinClaimWindow {
+		c.doc.Add("claims.window", "window %s, expected at least %s", window, MinClaimWindow)
 	}
 }
 
-func (c *checker) name(path, name string) { CheckName(c.doc, path, name) }
+func (c *checker) checkName(path, name string) { CheckName(c.doc, path, name) }
 
 // CheckName adds a finding if a name is missing or not usable in headers, metric labels
 // and paths.
 func CheckName(doc *jsonc.Document, path, name string) {
-	if len(name) > MaxName || !namePattern.MatchString(name) {
-		doc.Add(path, "%s %q, expected up to %d letters, digits and ._- beginning with a letter or digit", lastField(path), name, MaxName)
+	if len(name) > MaxNameBytes || !namePattern.MatchString(name) {
+		doc.Add(path, "%s %q, expected up to %d letters, digits and ._- beginning with a letter or digit", lastField(path), name, MaxNameBytes)
 	}
 }
 
-// where returns the position of a path as line:column.
-func (c *checker) where(path string) string {
+// position returns the position of a path as line:column.
+func (c *checker) position(path string) string {
 	line, column := c.doc.Place(path)
 	return fmt.Sprintf("%d:%d", line, column)
 }
@@ -319,7 +319,7 @@
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
-// at appends an index to a path.
-func at(path string, i int) string {
+// elementPath appends an index to a path.
+func elementPath(path string, i int) string {
 	return path + "[" + strconv.Itoa(i) + "]"
 }
--- a/internal/core/config/check_routes.go
+++ b/internal/core/config/check_routes.go
@@ -9,16 +9,16 @@
 	matches := make(map[[2]string]string, len(c.text.Routes))
 	for i := range c.text.Routes {
 		r := &c.text.Routes[i]
-		path := at("routes", i)
-		c.name(path+".name", r.Name)
+		path := elementPath("routes", i)
+		c.checkName(path+".name", r.Name)
 		if first, ok := names[r.Name]; ok && r.Name != "" {
-			c.doc.Add(path+".name", "route %q is already declared at %s", r.Name, c.where(first))
+			c.doc.Add(path+".name", "route %q is already declared at %s", r.Name, c.position(first))
 		} else {
 			names[r.Name] = path + ".name"
 		}
 		match := [2]string{r.Host, r.Prefix}
 		if first, ok := matches[match]; ok {
-			c.doc.Add(path+".prefix", "host and prefix are already those of the route at %s", c.where(first))
+			c.doc.Add(path+".prefix", "host and prefix are already those of the route at %s", c.position(first))
 		} else {
 			matches[match] = path + ".name"
 		}
@@ -55,10 +55,10 @@
 	sum := 0.0
 	for i, s := range split {
 		if _, ok := c.services[s.Service]; !ok {
-			c.doc.Add(at(path, i)+".service", "unknown service %q, expected a service of this text", s.Service)
+			c.doc.Add(elementPath(path, i)+".service", "unknown service %q, expected a service of this text", s.Service)
 		}
 		if s.Weight < 0 {
-			c.doc.Add(at(path, i)+".weight", "weight %v, expected 0 or more", s.Weight)
+			c.doc.Add(elementPath(path, i)+".weight", "weight %v, expected 0 or more", s.Weight)
 		}
 		sum += s.Weight
 	}
--- a/internal/core/config/check_test.go
+++ b/internal/core/config/check_test.go
@@ -59,7 +59,7 @@
 		{"limit", `"c1"`, `"c1", "max_in_flight": -1`, `t:6:47: max_in_flight -1, expected 0 for no bound`},
 		{"too many services", `{"name": "llm"`, strings.Repeat(`{"name": "s"},`, config.MaxServices) + `{"name": "llm"`, `t:2:13: 1002 services, expected at most 1000`},
 		{"not UTF-8", `"c1"`, "\"c\xff\"", `t:1:1: bytes that are not UTF-8`},
-		{"too large", `"claims"`, "// " + strings.Repeat(`"`, config.MaxEncoded/2) + "\n" + `"claims"`, `t:1:1: text takes `},
+		{"too large", `"claims"`, "// " + strings.Repeat(`"`, config.MaxEncodedBytes/2) + "\n" + `"claims"`, `t:1:1: text takes `},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, 1, strings.Count(base, c.old), "the replaced text must occur exactly once")
@@ -68,8 +68,9 @@
 	}
 }
 
-// TestFindingsTogether requires findings from parsing and from validation in one report.
-func TestFindingsTogether(t *testing.T) {
+// TestAllFindingsReportedTogether requires findings from parsing and from validation in
+// one report.
+func TestAllFindingsReportedTogether(t *testing.T) {
 	text := strings.NewReplacer(`"10m"`, `10`, `["portal"]`, `["x"]`, `10.0.0.1:80`, `e1`, `"from_platform"`, `"from_platforms"`).Replace(base)
 	var findings config.Findings
 	require.ErrorAs(t, check(text), &findings)
@@ -79,7 +80,7 @@
 // In a text of almost a megabyte, each service depends on every service, which makes some
 // 45,000 cycles. The report must stay short, since every instance that reads the text from
 // the store logs the report and keeps it.
-func TestEveryServiceNeedsAll(t *testing.T) {
+func TestCycleReportStaysShort(t *testing.T) {
 	const services = 300
 	var all, text strings.Builder
 	for i := range services {
--- a/internal/core/config/needs.go
+++ b/internal/core/config/needs.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Needs returns the names of the services that a service depends on, directly or
+// Dependencies returns the names of the services that a service depends on, directly or
 // indirectly, in sorted order and without duplicates. With duplicates, shared dependencies
 // would multiply the work of a request with each level of dependencies.
-func (s *Snapshot) Needs(service string) []string { return s.needs[service] }
+func (s *Snapshot) Dependencies(service string) []string { return s.dependencies[service] }
 
-// allNeeds computes the transitive dependencies of every service. They must have no
-// cycles.
-func allNeeds(services []Service) map[string][]string {
+// transitiveDependencies computes the transitive dependencies of every service. They must
+// have no cycles.
+func transitiveDependencies(services []Service) map[string][]string {
 	declared := make(map[string][]string, len(services))
 	for i := range services {
 		declared[services[i].Name] = services[i].DependsOn
--- a/internal/core/config/snapshot.go
+++ b/internal/core/config/snapshot.go
@@ -15,7 +15,7 @@
 	DefaultMaxRuns     = 1
 	DefaultDeadline    = Duration(2 * time.Minute)
 	DefaultWeight      = 1.0
-	DefaultWindow      = Duration(10 * time.Minute)
+	DefaultClaimWindow = Duration(10 * time.Minute)
 )
 
 // Snapshot is one validated configuration. It is immutable, so any goroutine may read it.
@@ -31,17 +31,17 @@
 	services  map[string]*Service
 	models    map[string]*Service
 	customers map[string]*Customer
-	// byKey maps API keys to their customers.
-	byKey map[string]*Customer
+	// customersByKey maps API keys to their customers.
+	customersByKey map[string]*Customer
 	// routes maps hosts to their routes by prefix.
-	routes map[string]map[string]*Route
-	names  []string
+	routes       map[string]map[string]*Route
+	serviceNames []string
 	// fromPlatform is set if any service takes its backend servers from the platform.
 	fromPlatform bool
-	// fixed maps each backend server in the text to its service.
-	fixed map[string]string
-	// needs holds the direct and indirect dependencies of each service.
-	needs map[string][]string
+	// serviceOfBackend maps each backend server in the text to its service.
+	serviceOfBackend map[string]string
+	// dependencies holds the direct and indirect dependencies of each service.
+	dependencies map[string][]string
 }
 
 // Service returns the service with the given name, or nil.
@@ -53,15 +53,15 @@
 // Customer returns the customer with the given name, or nil.
 func (s *Snapshot) Customer(name string) *Customer { return s.customers[name] }
 
-// CustomerOfKey returns the customer with the given API key, or nil.
-func (s *Snapshot) CustomerOfKey(key string) *Customer { return s.byKey[key] }
+// CustomerByKey returns the customer with the given API key, or nil.
+func (s *Snapshot) CustomerByKey(key string) *Customer { return s.customersByKey[key] }
 
 // FromPlatform reports whether any service takes its backend servers from the entries in
 // the platform's store.
 func (s *Snapshot) FromPlatform() bool { return s.fromPlatform }
 
-// HasKeys reports whether callers on routes must present API keys.
-func (s *Snapshot) HasKeys() bool { return len(s.byKey) > 0 }
+// HasAPIKeys reports whether callers on routes must present API keys.
+func (s *Snapshot) HasAPIKeys() bool { return len(s.customersByKey) > 0 }
 
 // Route returns the route of a host with the longest prefix that matches path, or nil. The
 // path must not include the query.
@@ -80,29 +80,29 @@
 	return nil
 }
 
-// ServiceOf returns the service that lists a backend server in the text, or "".
-func (s *Snapshot) ServiceOf(backend string) string { return s.fixed[backend] }
+// ServiceOfBackend returns the service that lists a backend server in the text, or "".
+func (s *Snapshot) ServiceOfBackend(backend string) string { return s.serviceOfBackend[backend] }
 
 // Services returns the names of the services in the order of the text.
-func (s *Snapshot) Services() []string { return s.names }
+func (s *Snapshot) Services() []string { return s.serviceNames }
 
 // Customers returns the number of customers.
 func (s *Snapshot) Customers() int { return len(s.customers) }
 
-// compile builds the snapshot of a validated text.
-func compile(env Envelope, t Text) *Snapshot {
+// newSnapshot builds the snapshot of a validated text.
+func newSnapshot(env Envelope, t Text) *Snapshot {
 	s := &Snapshot{
-		Generation: env.Generation,
-		Edit:       env.Edit,
-		Claims:     t.Claims,
-		Limits:     t.Limits,
-		services:   make(map[string]*Service, len(t.Services)),
-		models:     make(map[string]*Service),
-		customers:  make(map[string]*Customer, len(t.Customers)),
-		byKey:      make(map[string]*Customer),
-		routes:     make(map[string]map[string]*Route),
-		fixed:      make(map[string]string),
-		needs:      allNeeds(t.Services),
+		Generation:       env.Generation,
+		Edit:             env.Edit,
+		Claims:           t.Claims,
+		Limits:           t.Limits,
+		services:         make(map[string]*Service, len(t.Services)),
+		models:           make(map[string]*Service),
+		customers:        make(map[string]*Customer, len(t.Customers)),
+		customersByKey:   make(map[string]*Customer),
+		routes:           make(map[string]map[string]*Route),
+		serviceOfBackend: make(map[string]string),
+		dependencies:     transitiveDependencies(t.Services),
 	}
 	for i := range t.Services {
 		s.addService(t.Services[i])
@@ -111,7 +111,7 @@
 		c := t.Customers[i]
 		s.customers[c.Name] = &c
 		for _, key := range c.APIKeys {
-			s.byKey[key] = &c
+			s.customersByKey[key] = &c
 		}
 	}
 	for i := range t.Routes {
@@ -129,10 +129,10 @@
 
 func (s *Snapshot) addService(svc Service) {
 	s.services[svc.Name] = &svc
-	s.names = append(s.names, svc.Name)
+	s.serviceNames = append(s.serviceNames, svc.Name)
 	s.fromPlatform = s.fromPlatform || svc.FromPlatform
 	for _, b := range svc.BackendServers {
-		s.fixed[b.Name] = svc.Name
+		s.serviceOfBackend[b.Name] = svc.Name
 	}
 	if svc.Kind != Model {
 		return
@@ -148,7 +148,7 @@
 // fillDefaults sets the omitted fields to their defaults.
 func fillDefaults(t *Text) {
 	for i := range t.Services {
-		fillService(&t.Services[i])
+		fillServiceDefaults(&t.Services[i])
 	}
 	for i := range t.Customers {
 		t.Customers[i].Weight = cmp.Or(t.Customers[i].Weight, DefaultWeight)
@@ -156,10 +156,10 @@
 	for i := range t.Routes {
 		t.Routes[i].MaxRuns = cmp.Or(t.Routes[i].MaxRuns, DefaultMaxRuns)
 	}
-	t.Claims.Window = cmp.Or(t.Claims.Window, DefaultWindow)
+	t.Claims.Window = cmp.Or(t.Claims.Window, DefaultClaimWindow)
 }
 
-func fillService(s *Service) {
+func fillServiceDefaults(s *Service) {
 	s.SkewBound = cmp.Or(s.SkewBound, DefaultSkewBound)
 	if s.Engine != nil {
 		s.Capacity = cmp.Or(s.Capacity, s.Engine.Slots)
--- a/internal/core/configs.go
+++ b/internal/core/configs.go
@@ -19,10 +19,10 @@
 	configReadInterval = 10 * time.Minute
 	// configRetryDelay is the mean delay after the first failed call.
 	configRetryDelay = 250 * time.Millisecond
-	// configMaxDelay is the maximum backoff delay. Operators expect a text to be in force
+	// configMaxBackoff is the maximum backoff delay. Operators expect a text to be in force
 	// within two seconds once the store has been stable for three, so the delay must be shorter
 	// than that.
-	configMaxDelay = time.Second
+	configMaxBackoff = time.Second
 	// writeBackDelay is the mean delay before a follower writes back a configuration that the
 	// store has lost. It is randomized, so that most followers find that another one has
 	// already done it.
@@ -43,27 +43,27 @@
 type configState struct {
 	// inForce is the envelope of the current snapshot.
 	inForce config.Envelope
-	// call identifies the read or watch in progress.
-	call OpID
+	// callOp identifies the read or watch in progress.
+	callOp OpID
 	// version is the newest version that the store returned.
 	version uint64
 	// verifyAt is the time of the next read if this instance does not watch the key.
 	verifyAt time.Time
 	failures int
-	// missed is set if the last read left this instance without a configuration.
-	missed bool
-	// next is the earliest time for a further read or watch.
-	next time.Time
+	// readWithoutConfig is set if the last read left this instance without a configuration.
+	readWithoutConfig bool
+	// nextCallAt is the earliest time for a further read or watch.
+	nextCallAt time.Time
 	// pacing limits the rate of watch results.
-	pacing watchPacing
-	// behind is set while the store holds an older configuration than the one in force.
-	behind bool
-	// backAt is the time when the write-back is due.
-	backAt time.Time
-	// back identifies the write in progress that restores the configuration in the store.
-	back OpID
-	// refused is the newest rejected envelope.
-	refused config.Envelope
+	pacing watchPacer
+	// storeBehind is set while the store holds an older configuration than the one in force.
+	storeBehind bool
+	// writeBackAt is the time when the write-back is due.
+	writeBackAt time.Time
+	// writeBackOp identifies the write in progress that restores the configuration in the store.
+	writeBackOp OpID
+	// rejected is the newest rejected envelope.
+	rejected config.Envelope
 	// findings are the reasons for its rejection.
 	findings config.Findings
 }
@@ -72,77 +72,77 @@
 func (n *Node) tickConfig() {
 	c := &n.configs
 	watches := n.follows()
-	if c.behind && c.back == 0 && watches && !n.now.Before(c.backAt) {
+	if c.storeBehind && c.writeBackOp == 0 && watches && !n.now.Before(c.writeBackAt) {
 		n.writeBackConfig()
 	}
 	if c.verifyAt.IsZero() {
-		c.verifyAt = n.now.Add(n.spread(configReadInterval))
+		c.verifyAt = n.now.Add(n.spreadDelay(configReadInterval))
 	}
-	if c.call != 0 || n.now.Before(c.next) || n.backendsProbe() {
+	if c.callOp != 0 || n.now.Before(c.nextCallAt) || n.backendsCallProbes() {
 		return
 	}
 	switch {
 	case watches:
-		c.call = n.nextOp()
-		n.emit(StoreWatch{Op: c.call, Key: ConfigKey, Version: c.version})
+		c.callOp = n.nextOp()
+		n.emit(StoreWatch{Op: c.callOp, Key: ConfigKey, Version: c.version})
 	case !n.now.Before(c.verifyAt):
-		c.call = n.nextOp()
-		n.emit(StoreGet{Op: c.call, Key: ConfigKey})
+		c.callOp = n.nextOp()
+		n.emit(StoreGet{Op: c.callOp, Key: ConfigKey})
 	}
 }
 
 func (n *Node) storeReplied(e StoreReplied) {
 	switch {
 	case n.claimStoreReplied(e):
-	case e.Op == n.configs.call:
-		n.configRead(e)
-	case e.Op == n.configs.back:
-		n.configWrittenBack(e)
+	case e.Op == n.configs.callOp:
+		n.handleConfigResult(e)
+	case e.Op == n.configs.writeBackOp:
+		n.handleWriteBackResult(e)
 	}
 }
 
-// configRead handles the result of a read or watch.
-func (n *Node) configRead(e StoreReplied) {
+// handleConfigResult handles the result of a read or watch.
+func (n *Node) handleConfigResult(e StoreReplied) {
 	c := &n.configs
-	c.call = 0
-	defer func() { c.missed = n.snapshot == nil }()
+	c.callOp = 0
+	defer func() { c.readWithoutConfig = n.snapshot == nil }()
 	switch e.Status {
 	case StoreOK, StoreAbsent, StoreUnchanged:
-		c.failures, c.next = 0, time.Time{}
-		c.verifyAt = n.now.Add(n.spread(configReadInterval))
-		n.storeAnswered()
+		c.failures, c.nextCallAt = 0, time.Time{}
+		c.verifyAt = n.now.Add(n.spreadDelay(configReadInterval))
+		n.recordStoreSuccess()
 	default:
 		c.failures++
-		n.storeFailed()
-		c.next = n.now.Add(n.backOff(configRetryDelay, configMaxDelay, c.failures))
+		n.recordStoreFailure()
+		c.nextCallAt = n.now.Add(n.backoffDelay(configRetryDelay, configMaxBackoff, c.failures))
 		return
 	}
 	switch e.Status {
 	case StoreOK:
-		c.next = n.now.Add(n.jitter(c.pacing.after(n.now)))
+		c.nextCallAt = n.now.Add(n.jitter(c.pacing.pauseAfterChange(n.now)))
 		c.version = e.Version
-		n.readConfig(e)
+		n.applyStoredConfig(e)
 	case StoreAbsent:
 		c.version = 0
 		// A watch of an absent key may return at once.
-		c.next = n.now.Add(n.spread(configRetryDelay))
-		n.storeHolds(config.Envelope{})
+		c.nextCallAt = n.now.Add(n.spreadDelay(configRetryDelay))
+		n.compareStoredConfig(config.Envelope{})
 	}
 }
 
-func (n *Node) readConfig(e StoreReplied) {
+func (n *Node) applyStoredConfig(e StoreReplied) {
 	if e.Config != nil {
 		n.offerConfig(*e.Config)
-		n.storeHolds(e.Config.Envelope)
+		n.compareStoredConfig(e.Config.Envelope)
 		return
 	}
 	var env config.Envelope
 	if err := json.Unmarshal(e.Value, &env); err != nil {
-		n.refuseConfig(env, config.Findings{{File: ConfigKey, Line: 1, Column: 1, What: err.Error()}})
+		n.rejectConfig(env, config.Findings{{File: ConfigKey, Line: 1, Column: 1, What: err.Error()}})
 		return
 	}
 	n.offerConfig(ConfigOffer{Envelope: env})
-	n.storeHolds(env)
+	n.compareStoredConfig(env)
 }
 
 // offerConfig applies a configuration if it is newer than the one in force.
@@ -163,21 +163,21 @@
 			return
 		}
 	}
-	if env.Generation == n.configs.refused.Generation && env.Edit == n.configs.refused.Edit && n.configs.findings != nil {
+	if env.Generation == n.configs.rejected.Generation && env.Edit == n.configs.rejected.Edit && n.configs.findings != nil {
 		return
 	}
 	snapshot, err := offer.check()
 	if err != nil {
 		var findings config.Findings
 		errors.As(err, &findings)
-		n.refuseConfig(env, findings)
+		n.rejectConfig(env, findings)
 		return
 	}
 	n.snapshot = snapshot
 	n.configs.inForce, n.configs.findings = env, nil
-	n.configs.behind = false
+	n.configs.storeBehind = false
 	n.rebuildPools()
-	n.emit(ConfigTaken{Generation: env.Generation, Edit: env.Edit})
+	n.emit(ConfigApplied{Generation: env.Generation, Edit: env.Edit})
 }
 
 // check parses and validates the offered configuration.
@@ -188,28 +188,28 @@
 	return config.Check(ConfigKey, o.Envelope)
 }
 
-// refuseConfig keeps the configuration in force and records the findings for the status.
-func (n *Node) refuseConfig(env config.Envelope, findings config.Findings) {
-	n.configs.refused, n.configs.findings = env, findings
+// rejectConfig keeps the configuration in force and records the findings for the status.
+func (n *Node) rejectConfig(env config.Envelope, findings config.Findings) {
+	n.configs.rejected, n.configs.findings = env, findings
 	n.emit(ConfigRefused{Generation: env.Generation, Findings: findings})
 }
 
-// storeHolds compares the configuration in the store with the one in force.
+// compareStoredConfig compares the configuration in the store with the one in force.
 //
 // A store that was restored from a backup, or lost an acknowledged write, holds an older one. A
 // starting instance would apply that text, and the next edit would be based on it. The
 // followers therefore write back the configuration in force.
-func (n *Node) storeHolds(env config.Envelope) {
+func (n *Node) compareStoredConfig(env config.Envelope) {
 	c := &n.configs
 	if n.snapshot == nil || n.settings.ConfigReadOnly {
 		return
 	}
 	older := env.Generation < n.snapshot.Generation ||
 		env.Generation == n.snapshot.Generation && env.Edit < n.snapshot.Edit
-	if older && !c.behind {
-		c.backAt = n.now.Add(n.spread(writeBackDelay))
+	if older && !c.storeBehind {
+		c.writeBackAt = n.now.Add(n.spreadDelay(writeBackDelay))
 	}
-	c.behind = older
+	c.storeBehind = older
 }
 
 // writeBackConfig replaces the older envelope in the store by the one in force. The write is
@@ -220,25 +220,25 @@
 	if err != nil {
 		return
 	}
-	c.back = n.nextOp()
+	c.writeBackOp = n.nextOp()
 	n.emit(Counted{Counter: counterConfigWriteBacks, N: 1})
-	n.emit(StoreSwap{Op: c.back, Key: ConfigKey, Version: c.version, Value: value})
+	n.emit(StoreSwap{Op: c.writeBackOp, Key: ConfigKey, Version: c.version, Value: value})
 }
 
-// configWrittenBack handles the result of a write-back. Whatever the result, the watch
+// handleWriteBackResult handles the result of a write-back. Whatever the result, the watch
 // continues from the last version seen and returns the current value.
-func (n *Node) configWrittenBack(e StoreReplied) {
+func (n *Node) handleWriteBackResult(e StoreReplied) {
 	c := &n.configs
-	c.back = 0
-	c.backAt = n.now.Add(n.spread(2 * writeBackDelay))
+	c.writeBackOp = 0
+	c.writeBackAt = n.now.Add(n.spreadDelay(2 * writeBackDelay))
 	if e.Status == StoreOK {
-		c.behind = false
+		c.storeBehind = false
 	}
 }
 
-// peerWantsConfig answers a peer that has an older configuration. This is how an instance that
+// sendConfig answers a peer that has an older configuration. This is how an instance that
 // starts while the platform is unreachable gets the newest configuration known to its peers.
-func (n *Node) peerWantsConfig(from string, wanted *ConfigWanted) {
+func (n *Node) sendConfig(from string, wanted *ConfigWanted) {
 	if n.snapshot == nil || n.snapshot.Generation <= wanted.Above {
 		return
 	}
--- a/internal/core/configs_test.go
+++ b/internal/core/configs_test.go
@@ -16,9 +16,9 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/config"
 )
 
-// put writes a value to the configuration key, like an operator's tool or a store that was
+// putConfig writes a value to the configuration key, like an operator's tool or a store that was
 // restored from a backup.
-func (f *fleet) put(generation uint64, edit, text string) {
+func (f *fleet) putConfig(generation uint64, edit, text string) {
 	value, err := json.Marshal(config.Envelope{Generation: generation, Edit: edit, Text: text})
 	if err != nil {
 		panic(err)
@@ -26,13 +26,13 @@
 	v := f.store.value(core.ConfigKey)
 	v.value = value
 	v.version++
-	f.store.wake(v)
+	f.store.notifyWaiters(v)
 }
 
 // onGeneration returns the number of instances that have a generation in force, and the time
 // when the last of them applied it.
 func (f *fleet) onGeneration(generation uint64) (count int, last time.Time) {
-	for _, m := range f.members {
+	for _, m := range f.instances {
 		if m.dead || m.generation != generation {
 			continue
 		}
@@ -48,22 +48,22 @@
 	t.Helper()
 	text := fleetText(claimWindow)
 	f := newFleet(seed, n, zones, text)
-	f.put(1, "first", text)
+	f.putConfig(1, "first", text)
 	f.run(5 * time.Second)
 	count, _ := f.onGeneration(1)
 	require.Equal(t, n, count)
 	return f, text
 }
 
-func (f *fleet) requireAll(t *testing.T, generation uint64) {
+func (f *fleet) requireGeneration(t *testing.T, generation uint64) {
 	t.Helper()
 	count, _ := f.onGeneration(generation)
-	require.Equal(t, len(f.members), count, "instances on generation %d", generation)
-	require.Zero(t, f.reverts)
+	require.Equal(t, len(f.instances), count, "instances on generation %d", generation)
+	require.Zero(t, f.rollbacks)
 }
 
 // Operators change a limit, and some instances keep the old configuration for minutes.
-func TestAnEditIsInForceEverywhereWithinSeconds(t *testing.T) {
+func TestEditIsInForceEverywhereWithinSeconds(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ instances, zones, edits int }{{8, 3, 10}, {58, 3, 3}, {350, 6, 1}} {
 		f, text := configFleet(t, 11, size.instances, size.zones)
@@ -73,9 +73,9 @@
 		var worst time.Duration
 		for i := range uint64(size.edits) {
 			accepted := f.now
-			f.put(2+i, fmt.Sprintf("edit-%d", i), text)
+			f.putConfig(2+i, fmt.Sprintf("edit-%d", i), text)
 			f.run(8 * time.Second)
-			f.requireAll(t, 2+i)
+			f.requireGeneration(t, 2+i)
 			_, last := f.onGeneration(2 + i)
 			worst = max(worst, last.Sub(accepted))
 		}
@@ -88,46 +88,46 @@
 
 // The store is restored from a backup, or returns from an outage without its last write. The
 // fleet must not revert to the older text, and an instance that starts then must not apply it.
-func TestAStoreThatComesBackOlderDoesNotRevert(t *testing.T) {
+func TestRestoredStoreDoesNotRevertConfiguration(t *testing.T) {
 	f, text := configFleet(t, 12, 8, 3)
-	f.put(2, "second", text)
+	f.putConfig(2, "second", text)
 	f.run(10 * time.Second)
-	f.requireAll(t, 2)
+	f.requireGeneration(t, 2)
 	f.store.down = true
 	f.run(time.Minute)
-	f.put(1, "first", text)
+	f.putConfig(1, "first", text)
 	f.store.down = false
 	f.run(30 * time.Second)
-	f.requireAll(t, 2)
+	f.requireGeneration(t, 2)
 	require.Contains(t, string(f.store.value(core.ConfigKey).value), `"generation":2`, "written back")
-	f.boot(f.members[0], "")
+	f.boot(f.instances[0], "")
 	f.run(10 * time.Second)
-	f.requireAll(t, 2)
+	f.requireGeneration(t, 2)
 
 	v := f.store.value(core.ConfigKey)
 	v.value, v.version = nil, 0
-	f.store.wake(v)
+	f.store.notifyWaiters(v)
 	f.run(2 * time.Minute)
-	f.requireAll(t, 2)
+	f.requireGeneration(t, 2)
 	require.Contains(t, string(f.store.value(core.ConfigKey).value), `"generation":2`, "also written back to an emptied store")
 	t.Logf("%d write-backs by 8 instances", f.counters["config_write_backs/"])
 }
 
 // A replaced instance starts while the platform is unreachable. It would refuse all requests
 // for lack of a configuration that every neighbour has.
-func TestAnInstanceThatStartsInAnOutageAsksItsPeers(t *testing.T) {
+func TestInstanceStartedInOutageGetsConfigurationFromPeers(t *testing.T) {
 	f, text := configFleet(t, 13, 8, 3)
-	f.put(2, "second", text)
+	f.putConfig(2, "second", text)
 	f.run(10 * time.Second)
 	f.store.down, f.listDown = true, true
 	f.run(time.Minute)
-	m := f.members[3]
+	m := f.instances[3]
 	m.dead = true
 	f.run(10 * time.Second)
 	f.boot(m, "")
 	started := f.now
 	f.run(15 * time.Second)
-	f.requireAll(t, 2)
+	f.requireGeneration(t, 2)
 	t.Logf("in force %v after its start", m.takenAt.Sub(started))
 }
 
@@ -135,47 +135,47 @@
 // platform, it must get the edit from its peers; if only from its peers, from the platform. If
 // it is cut off from both, it must keep its configuration and apply the edit after the
 // partition heals.
-func TestAZoneCutOffTakesTheEditWhenItCan(t *testing.T) {
-	inZone := func(m *member) bool { return m.zone == "zone-0" }
-	across := func(a, b *member) bool { return inZone(a) != inZone(b) }
-	nowhere := func(_, _ *member) bool { return false }
+func TestPartitionedZoneAppliesEditWhenReachable(t *testing.T) {
+	inZone := func(m *fakeInstance) bool { return m.zone == "zone-0" }
+	across := func(a, b *fakeInstance) bool { return inZone(a) != inZone(b) }
+	nowhere := func(_, _ *fakeInstance) bool { return false }
 	f, text := configFleet(t, 14, 8, 3)
 
-	f.cutOff = inZone
-	f.put(2, "second", text)
+	f.platformCut = inZone
+	f.putConfig(2, "second", text)
 	f.run(15 * time.Second)
-	f.requireAll(t, 2)
+	f.requireGeneration(t, 2)
 
-	f.cutOff, f.cut = func(*member) bool { return false }, across
+	f.platformCut, f.linkCut = func(*fakeInstance) bool { return false }, across
 	f.run(10 * time.Second)
-	f.put(3, "third", text)
+	f.putConfig(3, "third", text)
 	f.run(15 * time.Second)
-	f.requireAll(t, 3)
+	f.requireGeneration(t, 3)
 
-	f.cutOff = inZone
+	f.platformCut = inZone
 	f.run(10 * time.Second)
-	f.put(4, "fourth", text)
+	f.putConfig(4, "fourth", text)
 	f.run(time.Minute)
 	count, _ := f.onGeneration(4)
 	require.Equal(t, 5, count)
-	f.cutOff, f.cut = func(*member) bool { return false }, nowhere
+	f.platformCut, f.linkCut = func(*fakeInstance) bool { return false }, nowhere
 	f.run(20 * time.Second)
-	f.requireAll(t, 4)
+	f.requireGeneration(t, 4)
 }
 
 // Two edits have the same generation: the store went back to an older state, and an operator
 // who saw only the store wrote again. Instances would keep different edits. All must converge
 // on the same one.
-func TestTwoEditsUnderOneGenerationSettle(t *testing.T) {
+func TestConflictingEditsConverge(t *testing.T) {
 	for _, edits := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		f, text := configFleet(t, 15, 8, 3)
-		f.put(2, edits[0], text)
+		f.putConfig(2, edits[0], text)
 		f.run(10 * time.Second)
-		f.requireAll(t, 2)
-		f.put(2, edits[1], text)
+		f.requireGeneration(t, 2)
+		f.putConfig(2, edits[1], text)
 		f.run(3 * time.Minute)
-		f.requireAll(t, 2)
-		for _, m := range f.members {
+		f.requireGeneration(t, 2)
+		for _, m := range f.instances {
 			require.Equal(t, "b", m.edit)
 		}
 		require.Contains(t, string(f.store.value(core.ConfigKey).value), `"edit":"b"`)
@@ -185,70 +185,70 @@
 
 // An invalid text, or a value that cannot be decoded, must be rejected as a whole and shown in
 // the status. The configuration in force stays, and the next valid one is applied.
-func TestATextThatCannotBeTakenLeavesTheOldInForce(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	f, text := configFleet(t, 16, 3, 1)
-	f.put(2, "bad", strings.Replace(text, `"plain"`, `"plane"`, 1))
+	f.putConfig(2, "bad", strings.Replace(text, `"plain"`, `"plane"`, 1))
 	f.run(10 * time.Second)
-	f.requireAll(t, 1)
-	for _, m := range f.members {
+	f.requireGeneration(t, 1)
+	for _, m := range f.instances {
 		require.NotEmpty(t, m.node.Status().Findings)
 	}
 	v := f.store.value(core.ConfigKey)
 	v.value, v.version = []byte("{"), v.version+1
-	f.store.wake(v)
+	f.store.notifyWaiters(v)
 	f.run(10 * time.Second)
-	f.requireAll(t, 1)
-	f.put(3, "good", text)
+	f.requireGeneration(t, 1)
+	f.putConfig(3, "good", text)
 	f.run(10 * time.Second)
-	f.requireAll(t, 3)
-	require.Empty(t, f.members[0].node.Status().Findings)
+	f.requireGeneration(t, 3)
+	require.Empty(t, f.instances[0].node.Status().Findings)
 }
 
 // After any sequence of edits, outages, partitions, restores, freezes and restarts, no instance
 // may have reverted, and all must have the newest configuration once everything has healed.
-func TestNoScheduleRevertsAConfiguration(t *testing.T) {
+func TestConfigurationNeverReverts(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		text := fleetText(claimWindow)
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 4, 2, "")
 		generation := uint64(0)
 		for range rapid.IntRange(3, 15).Draw(t, "steps") {
-			m := f.members[rapid.IntRange(0, 3).Draw(t, "member")]
+			m := f.instances[rapid.IntRange(0, 3).Draw(t, "member")]
 			switch rapid.IntRange(0, 8).Draw(t, "what") {
 			case 0:
 				f.store.down = !f.store.down
 			case 1:
-				f.cut = func(a, b *member) bool { return a.zone != b.zone }
+				f.linkCut = func(a, b *fakeInstance) bool { return a.zone != b.zone }
 			case 2:
-				f.cutOff = func(m *member) bool { return m.zone == "zone-0" }
+				f.platformCut = func(m *fakeInstance) bool { return m.zone == "zone-0" }
 			case 3:
-				m.frozenTill = f.now.Add(20 * time.Second)
+				m.frozenUntil = f.now.Add(20 * time.Second)
 			case 4:
 				f.boot(m, "")
 			case 5:
 				// The restore can only be detected if an instance has the newest generation.
 				if count, _ := f.onGeneration(generation); generation > 1 && count > 1 {
-					f.put(generation-1, fmt.Sprint(generation-1), text)
+					f.putConfig(generation-1, fmt.Sprint(generation-1), text)
 				}
 			default:
 				if !f.store.down {
 					generation++
-					f.put(generation, fmt.Sprint(generation), text)
+					f.putConfig(generation, fmt.Sprint(generation), text)
 				}
 			}
 			f.run(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "pause")) * time.Millisecond)
 		}
 		f.store.down = false
-		f.cut, f.cutOff = func(_, _ *member) bool { return false }, func(*member) bool { return false }
+		f.linkCut, f.platformCut = func(_, _ *fakeInstance) bool { return false }, func(*fakeInstance) bool { return false }
 		f.run(3 * time.Minute)
-		if f.reverts > 0 {
+		if f.rollbacks > 0 {
 			t.Fatal("an instance reverted")
 		}
 		newest := uint64(0)
-		for _, m := range f.members {
+		for _, m := range f.instances {
 			newest = max(newest, m.generation)
 		}
-		if count, _ := f.onGeneration(newest); count != len(f.members) {
+		if count, _ := f.onGeneration(newest); count != len(f.instances) {
 			t.Fatalf("%d of 4 instances on generation %d", count, newest)
 		}
 	})
--- a/internal/core/digests.go
+++ b/internal/core/digests.go
@@ -19,55 +19,55 @@
 		Generation:  n.generation(),
 		Leaving:     n.lifecycle.stopping,
 		Resync:      p.wantFull,
-		WantMembers: n.knowsNobody(),
+		WantMembers: n.needsMembers(),
 	}
-	changed := d.Generation != p.toldGeneration || d.Leaving != p.toldLeaving || n.backends.has() != p.toldEntries
+	changed := d.Generation != p.sentGeneration || d.Leaving != p.sentLeaving || n.backends.shareableRevision() != p.sentEntriesUpTo
 	n.addLoads(p, d)
 	n.addReports(p, d)
 	d.StoreAge = n.storeAge()
-	d.EntriesUpTo = n.backends.has()
+	d.EntriesUpTo = n.backends.shareableRevision()
 	n.addFacts(p, d)
 	if p.membersPending {
 		p.membersPending = false
-		d.Members = n.everyMember()
+		d.Members = n.knownMembers()
 	}
 	// A full digest is requested each round until it arrives, but not while the peer is silent.
-	changed = changed || d.Full || d.saysSomething() || (d.Resync && !p.forgotten)
-	if !changed && n.now.Sub(p.sentAt) < n.heartbeat() {
+	changed = changed || d.Full || d.hasChanges() || (d.Resync && !p.loadsDropped)
+	if !changed && n.now.Sub(p.digestSentAt) < n.heartbeatDelay() {
 		return
 	}
 	p.seq++
 	d.Seq = p.seq
-	p.sentAt = n.now
-	p.toldGeneration, p.toldLeaving, p.toldEntries = d.Generation, d.Leaving, d.EntriesUpTo
+	p.digestSentAt = n.now
+	p.sentGeneration, p.sentLeaving, p.sentEntriesUpTo = d.Generation, d.Leaving, d.EntriesUpTo
 	n.emit(SendPeer{To: p.name, Message: PeerMessage{Digest: d}})
 }
 
 // addFacts adds changes of other instances and of backend servers. A peer in another zone that
 // gets only loads receives the facts from other instances.
 func (n *Node) addFacts(p *peerState, d *Digest) {
-	if n.neighbour(p.name) && !n.hearsFacts(p.name) {
-		p.toldSeq, p.introducedSeq = n.view.Seq(), n.view.Seq()
+	if n.neighbour(p.name) && !n.receivesFacts(p.name) {
+		p.sentFactsSeq, p.sentMembersSeq = n.view.Seq(), n.view.Seq()
 		return
 	}
 	n.addMembers(p, d)
-	n.addLosses(p, d)
+	n.addLostFollowers(p, d)
 	n.addAnswers(p, d)
 }
 
-// saysSomething reports whether any list of the digest has an entry.
-func (d *Digest) saysSomething() bool {
+// hasChanges reports whether any list of the digest has an entry.
+func (d *Digest) hasChanges() bool {
 	loads := len(d.Loads) + len(d.RowSums) + len(d.Totals) + len(d.Reports)
 	return loads+len(d.Facts)+len(d.Members)+len(d.Answers)+len(d.LostFollowers) > 0
 }
 
-// heartbeat returns the time since its last digest after which a peer is sent one even without
+// heartbeatDelay returns the time since its last digest after which a peer is sent one even without
 // changes. It is one round less than the maximum interval, since digests are due once a round.
-func (n *Node) heartbeat() time.Duration {
-	if n.beats() {
-		return n.followerBeat() - n.round()
+func (n *Node) heartbeatDelay() time.Duration {
+	if n.sendsFollowerDigests() {
+		return n.followerDigestInterval() - n.digestInterval()
 	}
-	return heartbeat - n.round()
+	return heartbeatInterval - n.digestInterval()
 }
 
 func (n *Node) generation() uint64 {
@@ -77,22 +77,22 @@
 	return n.snapshot.Generation
 }
 
-// knowsNobody reports whether this instance started while the platform was unreachable and must
+// needsMembers reports whether this instance started while the platform was unreachable and must
 // get the list of instances from its peers.
-func (n *Node) knowsNobody() bool {
-	return n.members.read.IsZero() && n.members.failures > 0 && n.view.Seq() == 0
+func (n *Node) needsMembers() bool {
+	return n.members.readAt.IsZero() && n.members.failures > 0 && n.view.Seq() == 0
 }
 
-// everyMember returns the instances that are not gone. It does not include those missing from
+// knownMembers returns the instances that are not gone. It does not include those missing from
 // the platform's list, since their absence is this instance's own inference.
-func (n *Node) everyMember() []membership.Instance {
-	var members []membership.Instance
-	n.view.Each(func(in *membership.Instance) {
+func (n *Node) knownMembers() []membership.Member {
+	var members []membership.Member
+	n.view.Each(func(in *membership.Member) {
 		if in.State != membership.Gone {
 			members = append(members, *in)
 		}
 	})
-	slices.SortFunc(members, func(a, b membership.Instance) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(members, func(a, b membership.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return members
 }
 
@@ -103,68 +103,68 @@
 	if level == budget.NoLoads {
 		return
 	}
-	if p.refreshAt.IsZero() {
+	if p.fullDigestDue.IsZero() {
 		// The first refresh is at a random point of the interval, so that instances started
 		// together do not refresh at the same time.
-		p.refreshAt = n.now.Add(time.Duration(n.random.Float64() * float64(refreshEvery)))
+		p.fullDigestDue = n.now.Add(time.Duration(n.random.Float64() * float64(fullDigestInterval)))
 	}
-	if !n.now.Before(p.refreshAt) {
-		p.refreshAt = n.now.Add(n.jitter(refreshEvery))
-		if level == budget.Everything {
+	if !n.now.Before(p.fullDigestDue) {
+		p.fullDigestDue = n.now.Add(n.jitter(fullDigestInterval))
+		if level == budget.SendAll {
 			p.fullPending = true
 		} else {
 			n.emit(Counted{Counter: counterShed, Label: "refresh", N: 1})
 		}
 	}
 	current := n.loadsFor(p)
-	if n.now.Sub(n.peers.layoutAt) < handover {
-		current.Linger(p.sent)
+	if n.now.Sub(n.peers.layoutChangedAt) < layoutHandoverPeriod {
+		current.RetainSent(p.sent)
 	}
 	d.Full, p.fullPending = p.fullPending, false
-	changes := current.Change(p.sent, d.Full, level == budget.Sparing)
-	d.Loads, d.RowSums, d.Totals = changes.Own, changes.Rows, changes.Totals
+	changes := current.Diff(p.sent, d.Full, level == budget.NoSmallChanges)
+	d.Loads, d.RowSums, d.Totals = changes.Own, changes.RowSums, changes.Totals
 	if changes.Shed > 0 {
 		n.emit(Counted{Counter: counterShed, Label: "load", N: changes.Shed})
 	}
 }
 
 // loadsFor returns the loads to be sent to a peer.
-func (n *Node) loadsFor(p *peerState) sums.Lists {
-	if n.outsider(p.name) {
-		return sums.NewLists()
+func (n *Node) loadsFor(p *peerState) sums.Loads {
+	if n.outsideLayout(p.name) {
+		return sums.NewLoads()
 	}
-	return n.peers.sums.For(p.name)
+	return n.peers.sums.LoadsFor(p.name)
 }
 
 func (n *Node) addReports(p *peerState, d *Digest) {
-	if len(p.reports) == 0 {
+	if len(p.pendingReports) == 0 {
 		return
 	}
 	if n.peers.budget.Level(n.now) == budget.NoLoads {
-		n.emit(Counted{Counter: counterShed, Label: "report", N: len(p.reports)})
+		n.emit(Counted{Counter: counterShed, Label: "report", N: len(p.pendingReports)})
 	} else {
-		for _, backend := range slices.Sorted(maps.Keys(p.reports)) {
-			d.Reports = append(d.Reports, p.reports[backend])
+		for _, backend := range slices.Sorted(maps.Keys(p.pendingReports)) {
+			d.Reports = append(d.Reports, p.pendingReports[backend])
 		}
 	}
-	clear(p.reports)
+	clear(p.pendingReports)
 }
 
-// peerDigest applies a digest from a peer.
-func (n *Node) peerDigest(from string, d *Digest) {
+// applyDigest applies a digest from a peer.
+func (n *Node) applyDigest(from string, d *Digest) {
 	p := n.peer(from)
-	if !n.freshDigest(p, d) {
+	if !n.acceptDigest(p, d) {
 		return
 	}
-	p.heardAt = n.now
-	p.forgotten = false
+	p.receivedAt = n.now
+	p.loadsDropped = false
 	if in := n.view.Get(from); len(d.RowSums) > 0 && in != nil && in.Zone != n.settings.Zone {
 		// The other zone sends its loads because it needs the loads of all zones. This zone
 		// then sends its own as well.
-		n.peers.farLoads = true
+		n.peers.crossZoneLoads = true
 	}
 	// This is needed even without changes, because the tracker ages the loads of silent peers.
-	n.peerLoads(p.name, p.heard.Take(sums.Changes{Own: d.Loads, Rows: d.RowSums, Totals: d.Totals}, d.Full))
+	n.applyPeerLoads(p.name, p.received.Apply(sums.Changes{Own: d.Loads, RowSums: d.RowSums, Totals: d.Totals}, d.Full))
 	if d.Resync {
 		p.fullPending = true
 	}
@@ -173,35 +173,35 @@
 	}
 	if d.Leaving && !p.leaving {
 		p.leaving = true
-		n.peerLeaves(from)
+		n.recordPeerLeaving(from)
 	}
 	for _, in := range d.Members {
-		p.introduced[in.Name] = in.Incarnation
+		p.receivedMembers[in.Name] = in.Incarnation
 	}
-	n.learnMembers(d.Members)
+	n.mergeMembers(d.Members)
 	for _, f := range d.Facts {
-		n.learn(f)
+		n.mergeFact(f)
 	}
 	for _, r := range d.Reports {
-		n.backendSaid(r)
-		n.heardBackend(r.Backend)
+		n.applyBackendReport(r)
+		n.recordBackendReport(r.Backend)
 	}
-	n.peerStoreAge(d.StoreAge)
-	n.peerLosses(d)
-	n.peerEntries(from, d)
+	n.mergeStoreAge(d.StoreAge)
+	n.mergeLostFollowers(d)
+	n.requestMissingEntries(from, d)
 	n.peerAnswers(d)
-	n.heardGeneration(from, d.Generation)
+	n.requestNewerConfig(from, d.Generation)
 }
 
-// freshDigest reports whether a digest is new. Digests from an earlier incarnation, duplicates
+// acceptDigest reports whether a digest is new. Digests from an earlier incarnation, duplicates
 // and late ones are rejected, since they would restore loads that have ended.
-func (n *Node) freshDigest(p *peerState, d *Digest) bool {
+func (n *Node) acceptDigest(p *peerState, d *Digest) bool {
 	switch {
 	case d.Incarnation < p.incarnation:
 		n.emit(Counted{Counter: counterStale, Label: "incarnation", N: 1})
 		return false
 	case d.Incarnation > p.incarnation:
-		n.forgetLoads(p)
+		n.dropLoads(p)
 		p.incarnation, p.lastSeq, p.leaving = d.Incarnation, 0, false
 	}
 	if d.Seq <= p.lastSeq {
@@ -217,19 +217,19 @@
 	return true
 }
 
-// peerLeaves records the fact that a peer has begun its graceful shutdown, so that it is sent
-// on. The fact uses the incarnation in the platform's list, which may differ from the process's
-// own.
-func (n *Node) peerLeaves(name string) {
+// recordPeerLeaving records the fact that a peer has begun its graceful shutdown, so that it is
+// sent on. The fact uses the incarnation in the platform's list, which may differ from the
+// process's own.
+func (n *Node) recordPeerLeaving(name string) {
 	if in := n.view.Get(name); in != nil {
-		n.learn(membership.Fact{Name: name, Incarnation: in.Incarnation, State: membership.Leaving})
+		n.mergeFact(membership.Fact{Name: name, Incarnation: in.Incarnation, State: membership.Leaving})
 	}
 }
 
-// heardGeneration requests a peer's configuration if its generation is newer. A text that this
+// requestNewerConfig requests a peer's configuration if its generation is newer. A text that this
 // instance cannot accept is not requested again at once.
-func (n *Node) heardGeneration(from string, generation uint64) {
-	if generation <= n.generation() || !n.peers.wanted.due(generation, n.now) {
+func (n *Node) requestNewerConfig(from string, generation uint64) {
+	if generation <= n.generation() || !n.peers.configRequests.due(generation, n.now) {
 		return
 	}
 	n.emit(SendPeer{To: from, Message: PeerMessage{ConfigWanted: &ConfigWanted{Above: n.generation()}}})
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -30,28 +30,28 @@
 	// Source is the address of an engine from which this engine can copy the cached
 	// parts of the prompt, empty if it need not copy any.
 	Source string `json:"source,omitempty"`
-	// FirstWithin is the timeout for the first bytes of the response. It is set if the
+	// FirstByteTimeout is the timeout for the first bytes of the response. It is set if the
 	// request can continue on another backend server; 0 means that only the deadline
 	// applies.
-	FirstWithin time.Duration `json:"first_within,omitempty"`
-	// Stall is the timeout between later bytes, under the same condition.
-	Stall time.Duration `json:"stall,omitempty"`
-	// Once is set if the request must not run more than once.
-	Once bool `json:"once,omitempty"`
+	FirstByteTimeout time.Duration `json:"first_within,omitempty"`
+	// StallTimeout is the timeout between later bytes, under the same condition.
+	StallTimeout time.Duration `json:"stall,omitempty"`
+	// AtMostOnce is set if the request must not run more than once.
+	AtMostOnce bool `json:"once,omitempty"`
 	// Deadline is when the daemon aborts the attempt.
 	Deadline time.Time `json:"deadline"`
 	// ResumeAfter is the ID of the event after which to resume a broken stream.
 	ResumeAfter string `json:"resume_after,omitempty"`
 	// Placement is the placement hint to return to the caller for the chat's next turn.
 	Placement string `json:"placement,omitempty"`
-	// Why is the reason for the retry, empty on the first attempt.
-	Why reason.Reason `json:"why,omitempty"`
-	// Basis records the inputs of the backend server selection.
-	Basis Basis `json:"basis,omitzero"`
+	// RetryReason is the reason for the retry, empty on the first attempt.
+	RetryReason reason.Reason `json:"why,omitempty"`
+	// Selection records the inputs of the backend server selection.
+	Selection SelectionInputs `json:"basis,omitzero"`
 }
 
-// Basis records the inputs of a backend server selection, for logging.
-type Basis struct {
+// SelectionInputs records the inputs of a backend server selection, for logging.
+type SelectionInputs struct {
 	// Generation is the generation of the configuration.
 	Generation uint64 `json:"generation,omitempty"`
 	// Revision is the store's revision of the backend server's entry.
@@ -92,15 +92,15 @@
 	RetryAfter time.Duration  `json:"retry_after,omitempty"`
 	// First identifies the original request if the outcome is a duplicate.
 	First string `json:"first,omitempty"`
-	// Fill is the utilization of the service if the request was refused for lack of
+	// Utilization is the utilization of the service if the request was refused for lack of
 	// capacity.
-	Fill Fill `json:"fill,omitzero"`
-	// PassOn is set if the caller gets the failure response of a backend server.
-	PassOn bool `json:"pass_on,omitempty"`
+	Utilization Utilization `json:"fill,omitzero"`
+	// ForwardFailure is set if the caller gets the failure response of a backend server.
+	ForwardFailure bool `json:"pass_on,omitempty"`
 }
 
-// Fill is an instance's estimate of a service's utilization, for logging.
-type Fill struct {
+// Utilization is an instance's estimate of a service's utilization, for logging.
+type Utilization struct {
 	// Load is the number of requests in flight on the service's backend servers, and
 	// Capacity the maximum number.
 	Load     float64 `json:"load"`
@@ -148,10 +148,10 @@
 // Register writes this instance's own entry under a lease and acquires the lease first
 // if there is none. LeaseReplied reports the result.
 type Register struct {
-	Op       OpID                `json:"op"`
-	Lease    uint64              `json:"lease,omitempty"`
-	TTL      time.Duration       `json:"ttl"`
-	Instance membership.Instance `json:"instance"`
+	Op       OpID              `json:"op"`
+	Lease    uint64            `json:"lease,omitempty"`
+	TTL      time.Duration     `json:"ttl"`
+	Instance membership.Member `json:"instance"`
 }
 
 // RenewLease renews the lease of this instance's entry. LeaseReplied reports the result.
@@ -188,8 +188,8 @@
 	Message PeerMessage `json:"message"`
 }
 
-// ConfigTaken reports that this instance applied a configuration.
-type ConfigTaken struct {
+// ConfigApplied reports that this instance applied a configuration.
+type ConfigApplied struct {
 	Generation uint64 `json:"generation"`
 	Edit       string `json:"edit"`
 }
@@ -262,7 +262,7 @@
 func (SendPeer) EffectName() string { return "send-peer" }
 
 // EffectName implements Effect.
-func (ConfigTaken) EffectName() string { return "config-taken" }
+func (ConfigApplied) EffectName() string { return "config-taken" }
 
 // EffectName implements Effect.
 func (ConfigRefused) EffectName() string { return "config-refused" }
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -100,9 +100,9 @@
 // InstancesListed is the result of ListInstances: the platform's complete list of
 // instances, which may lag behind the fleet.
 type InstancesListed struct {
-	Op      OpID                  `json:"op"`
-	Failed  bool                  `json:"failed,omitempty"`
-	Members []membership.Instance `json:"members"`
+	Op      OpID                `json:"op"`
+	Failed  bool                `json:"failed,omitempty"`
+	Members []membership.Member `json:"members"`
 	// OwnLease is the lease of the entry under this instance's name, 0 if there is none.
 	// The lease may belong to an earlier process.
 	OwnLease uint64 `json:"own_lease,omitempty"`
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -99,11 +99,11 @@
 	if len(p.candidates) == 0 {
 		return
 	}
-	total, count := n.sharing(r, p)
-	choice := n.choice(r, p)
+	total, count := n.loadTotals(r, p)
+	choice := n.routingChoice(r, p)
 	x.Mean = total / float64(count)
 	x.Load, x.Capacity = total, p.capacity(count)
-	limits := choice.Limits.Written()
+	limits := choice.Limits.Finite()
 	x.Limit, x.Inner = limits.Outer, limits.Inner
 	if choice.Hinted != routing.None {
 		x.Hinted = p.candidates[choice.Hinted].Name
--- a/internal/core/fakestore_test.go
+++ b/internal/core/fakestore_test.go
@@ -25,9 +25,10 @@
 	entries []core.BackendEntry
 	// watchers are called on each change of the entries.
 	watchers []func()
-	// loseAnswer is the share of writes that take effect but whose reply is lost, loseWrite the
-	// share that never take effect, and lateWrite the share that take effect after the reply.
-	loseAnswer, loseWrite, lateWrite float64
+	// lostReplyShare is the share of writes that take effect but whose reply is lost,
+	// lostWriteShare the share that never take effect, and lateWriteShare the share that take
+	// effect after the reply.
+	lostReplyShare, lostWriteShare, lateWriteShare float64
 	// registrations holds the instances' own entries by name.
 	registrations map[string]registration
 	lastLease     uint64
@@ -48,11 +49,11 @@
 	return v
 }
 
-// away reports whether an instance cannot reach the store.
-func (s *fakeStore) away(m *member) bool { return s.down || s.fleet.cutOff(m) }
+// unreachableFrom reports whether an instance cannot reach the store.
+func (s *fakeStore) unreachableFrom(m *fakeInstance) bool { return s.down || s.fleet.platformCut(m) }
 
-func (s *fakeStore) get(m *member, e core.StoreGet) {
-	if s.away(m) {
+func (s *fakeStore) get(m *fakeInstance, e core.StoreGet) {
+	if s.unreachableFrom(m) {
 		s.fleet.reply(m, storeTimeout, core.StoreReplied{Op: e.Op, Status: core.StoreFailed})
 		return
 	}
@@ -61,7 +62,7 @@
 		s.fleet.reply(m, storeTimeout, core.StoreReplied{Op: e.Op, Status: core.StoreUnknown})
 		return
 	}
-	s.fleet.after(delay, func() {
+	s.fleet.schedule(delay, func() {
 		v := s.value(e.Key)
 		r := core.StoreReplied{Op: e.Op, Status: core.StoreOK, Version: v.version, Value: v.value}
 		if v.version == 0 {
@@ -72,25 +73,25 @@
 }
 
 // swap handles a compare-and-swap with the injected faults.
-func (s *fakeStore) swap(m *member, e core.StoreSwap) {
+func (s *fakeStore) swap(m *fakeInstance, e core.StoreSwap) {
 	f := s.fleet
 	unknown := core.StoreReplied{Op: e.Op, Status: core.StoreUnknown}
-	if s.away(m) {
+	if s.unreachableFrom(m) {
 		f.reply(m, storeTimeout, unknown)
 		return
 	}
 	delay := s.latency()
 	switch p := f.random.Float64(); {
-	case p < s.loseWrite:
+	case p < s.lostWriteShare:
 		f.reply(m, storeTimeout, unknown)
-	case p < s.loseWrite+s.lateWrite:
+	case p < s.lostWriteShare+s.lateWriteShare:
 		f.reply(m, storeTimeout, unknown)
-		f.after(delay+time.Duration(f.random.Int64N(int64(10*time.Second))), func() { s.write(e) })
-	case p < s.loseWrite+s.lateWrite+s.loseAnswer, delay > storeTimeout:
-		f.after(delay, func() { s.write(e) })
+		f.schedule(delay+time.Duration(f.random.Int64N(int64(10*time.Second))), func() { s.write(e) })
+	case p < s.lostWriteShare+s.lateWriteShare+s.lostReplyShare, delay > storeTimeout:
+		f.schedule(delay, func() { s.write(e) })
 		f.reply(m, storeTimeout, unknown)
 	default:
-		f.after(delay, func() { f.reply(m, time.Millisecond, s.write(e)) })
+		f.schedule(delay, func() { f.reply(m, time.Millisecond, s.write(e)) })
 	}
 }
 
@@ -105,12 +106,12 @@
 		s.fleet.calls["claim-write"]++
 		s.fleet.calls["claim-bytes"] += len(e.Value)
 	}
-	s.wake(v)
+	s.notifyWaiters(v)
 	return core.StoreReplied{Op: e.Op, Status: core.StoreOK, Version: v.version}
 }
 
-// wake calls the waiters of a value.
-func (s *fakeStore) wake(v *fakeValue) {
+// notifyWaiters calls the waiters of a value.
+func (s *fakeStore) notifyWaiters(v *fakeValue) {
 	waiters := v.waiters
 	v.waiters = nil
 	for _, waiter := range waiters {
@@ -119,9 +120,9 @@
 }
 
 // watch replies once the value changes, or after 30 s without a change.
-func (s *fakeStore) watch(m *member, e core.StoreWatch) {
+func (s *fakeStore) watch(m *fakeInstance, e core.StoreWatch) {
 	f := s.fleet
-	if s.away(m) {
+	if s.unreachableFrom(m) {
 		f.reply(m, storeTimeout, core.StoreReplied{Op: e.Op, Status: core.StoreFailed})
 		return
 	}
@@ -133,7 +134,7 @@
 		}
 		done = true
 		switch {
-		case s.away(m):
+		case s.unreachableFrom(m):
 			status = core.StoreUnknown
 		case v.version == 0:
 			status = core.StoreAbsent
@@ -145,5 +146,5 @@
 		return
 	}
 	v.waiters = append(v.waiters, func() { reply(core.StoreOK) })
-	f.after(30*time.Second, func() { reply(core.StoreUnchanged) })
+	f.schedule(30*time.Second, func() { reply(core.StoreUnchanged) })
 }
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -16,48 +16,48 @@
 // fleet runs several nodes in virtual time against fakes of the platform, the backend servers and
 // the links between instances.
 type fleet struct {
-	now     time.Time
-	random  *rand.Rand
-	due     timeline
-	seq     int
-	members []*member
-	store   fakeStore
-	list    []membership.Instance
+	now       time.Time
+	random    *rand.Rand
+	due       timeline
+	seq       int
+	instances []*fakeInstance
+	store     fakeStore
+	list      []membership.Member
 	// listDown makes all reads of the instance list fail.
 	listDown bool
-	// cut reports whether two instances cannot connect to each other.
-	cut func(a, b *member) bool
-	// cutOff reports whether an instance cannot reach the platform.
-	cutOff func(m *member) bool
-	// noAnswer is the share of attempts whose connection fails.
-	noAnswer float64
-	requests map[core.RequestID]*sent
-	runs     map[string][]*sent
-	counters map[string]int
-	calls    map[string]int
-	// registers makes instances register their own entries, through which the others discover
+	// linkCut reports whether two instances cannot connect to each other.
+	linkCut func(a, b *fakeInstance) bool
+	// platformCut reports whether an instance cannot reach the platform.
+	platformCut func(m *fakeInstance) bool
+	// dialFailureShare is the share of attempts whose connection fails.
+	dialFailureShare float64
+	requests         map[core.RequestID]*callerRequest
+	runs             map[string][]*callerRequest
+	counters         map[string]int
+	calls            map[string]int
+	// selfRegister makes instances register their own entries, through which the others discover
 	// them. If it is unset, f.list contains all instances from the start.
-	registers bool
+	selfRegister bool
 	// serve replaces attempt if it is set.
-	serve func(m *member, e core.SendAttempt)
+	serve func(m *fakeInstance, e core.SendAttempt)
 	// noPolls disables polls, so that backend servers report their loads in responses only.
 	noPolls bool
-	// price is the total cost of the calls to the store, in units of one call. A renewal or a
+	// storeCost is the total cost of the calls to the store, in units of one call. A renewal or a
 	// stale read costs a tenth.
-	price float64
-	// reverts counts the cases in which an instance replaced its generation by an older one.
-	reverts int
+	storeCost float64
+	// rollbacks counts the cases in which an instance replaced its generation by an older one.
+	rollbacks int
 }
 
-// member is one instance of the fleet.
-type member struct {
+// fakeInstance is one instance of the fleet.
+type fakeInstance struct {
 	name, zone  string
 	node        *core.Node
 	incarnation uint64
 	dead        bool
-	frozenTill  time.Time
+	frozenUntil time.Time
 	peers       map[string]bool
-	wanted      []core.PeerAddress
+	wantedPeers []core.PeerAddress
 	// watches counts the instance's watches of the configuration.
 	watches int
 	// generation and edit identify the configuration in force since takenAt.
@@ -66,11 +66,11 @@
 	takenAt    time.Time
 }
 
-// sent is one request of a caller and its result.
-type sent struct {
+// callerRequest is one request of a caller and its result.
+type callerRequest struct {
 	id          core.RequestID
 	key         string
-	by          *member
+	instance    *fakeInstance
 	incarnation uint64
 	// at is the time at which the instance handled the request, which is when the window of
 	// its claim begins. If the instance was frozen, this is later than the time at which the
@@ -79,28 +79,28 @@
 	runs     int
 	ranAt    time.Time
 	outcome  reason.Outcome
-	why      reason.Reason
+	reason   reason.Reason
 	first    string
 	answered bool
 	ended    time.Time
 }
 
-// item is an action that is due at a virtual time.
-type item struct {
-	at  time.Time
-	seq int
-	do  func()
+// scheduledAction is an action that is due at a virtual time.
+type scheduledAction struct {
+	at     time.Time
+	seq    int
+	action func()
 }
 
-// timeline is a heap of items, ordered by time and then by seq.
-type timeline []item
+// timeline is a heap of actions, ordered by time and then by seq.
+type timeline []scheduledAction
 
 func (t timeline) Len() int { return len(t) }
 func (t timeline) Less(i, j int) bool {
 	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].seq < t[j].seq
 }
 func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(item)) }
+func (t *timeline) Push(x any)   { *t = append(*t, x.(scheduledAction)) }
 func (t *timeline) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
@@ -119,54 +119,55 @@
 }`, window)
 }
 
-// emptyFleet returns a fleet of n instances in the given number of zones; none of them is running.
-func emptyFleet(seed uint64, n, zones int) *fleet {
+// newStoppedFleet returns a fleet of n instances in the given number of zones; none of them is
+// running.
+func newStoppedFleet(seed uint64, n, zones int) *fleet {
 	f := &fleet{
 		now: epoch, random: rand.New(rand.NewPCG(seed, 1)),
-		store:    fakeStore{keys: make(map[string]*fakeValue), registrations: make(map[string]registration)},
-		cut:      func(_, _ *member) bool { return false },
-		cutOff:   func(*member) bool { return false },
-		requests: make(map[core.RequestID]*sent), runs: make(map[string][]*sent),
+		store:       fakeStore{keys: make(map[string]*fakeValue), registrations: make(map[string]registration)},
+		linkCut:     func(_, _ *fakeInstance) bool { return false },
+		platformCut: func(*fakeInstance) bool { return false },
+		requests:    make(map[core.RequestID]*callerRequest), runs: make(map[string][]*callerRequest),
 		counters: make(map[string]int), calls: make(map[string]int),
 	}
 	f.store.fleet = f
 	for i := range n {
-		f.members = append(f.members, &member{name: fmt.Sprintf("entry-%d", i), zone: fmt.Sprintf("zone-%d", i%zones)})
+		f.instances = append(f.instances, &fakeInstance{name: fmt.Sprintf("entry-%d", i), zone: fmt.Sprintf("zone-%d", i%zones)})
 	}
 	return f
 }
 
 // newFleet starts n instances in the given number of zones with a configuration in force.
 func newFleet(seed uint64, n, zones int, text string) *fleet {
-	f := emptyFleet(seed, n, zones)
+	f := newStoppedFleet(seed, n, zones)
 	f.start(text)
 	return f
 }
 
 // start adds all instances to the list and boots them with a configuration in force.
 func (f *fleet) start(text string) {
-	for _, m := range f.members {
-		f.list = append(f.list, membership.Instance{
-			Name: m.name, Role: membership.Entry, Zone: m.zone, Address: "127.0.0.1:9", Incarnation: 1, State: membership.Live,
+	for _, m := range f.instances {
+		f.list = append(f.list, membership.Member{
+			Name: m.name, Role: membership.RoleInstance, Zone: m.zone, Address: "127.0.0.1:9", Incarnation: 1, State: membership.Live,
 		})
 	}
-	for _, m := range f.members {
+	for _, m := range f.instances {
 		f.boot(m, text)
 	}
 }
 
 // boot starts or restarts an instance.
-func (f *fleet) boot(m *member, text string) {
+func (f *fleet) boot(m *fakeInstance, text string) {
 	m.incarnation++
-	m.dead, m.peers, m.wanted = false, make(map[string]bool), nil
+	m.dead, m.peers, m.wantedPeers = false, make(map[string]bool), nil
 	m.generation = 0
-	for _, other := range f.members {
+	for _, other := range f.instances {
 		delete(other.peers, m.name)
 	}
 	settings := core.Settings{
 		Name: m.name, Zone: m.zone, Incarnation: m.incarnation, Seed: f.random.Uint64(), NoPolls: f.noPolls,
 	}
-	if f.registers {
+	if f.selfRegister {
 		settings.PeerAddress = "127.0.0.1:9"
 	}
 	m.node = core.New(settings)
@@ -180,45 +181,45 @@
 			return
 		}
 		f.deliver(m, core.Ticked{})
-		f.after(core.TickInterval, tick)
+		f.schedule(core.TickInterval, tick)
 	}
-	f.after(time.Duration(f.random.Int64N(int64(core.TickInterval))), tick)
+	f.schedule(time.Duration(f.random.Int64N(int64(core.TickInterval))), tick)
 	var dial func()
 	dial = func() {
 		if !m.dead && m.incarnation == incarnation {
 			f.connect(m)
-			f.after(time.Second, dial)
+			f.schedule(time.Second, dial)
 		}
 	}
-	f.after(time.Second, dial)
+	f.schedule(time.Second, dial)
 }
 
-// after schedules an action for later.
-func (f *fleet) after(d time.Duration, do func()) {
+// schedule schedules an action for later.
+func (f *fleet) schedule(d time.Duration, do func()) {
 	f.seq++
-	heap.Push(&f.due, item{at: f.now.Add(d), seq: f.seq, do: do})
+	heap.Push(&f.due, scheduledAction{at: f.now.Add(d), seq: f.seq, action: do})
 }
 
 // run advances virtual time by d and carries out the actions that become due.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.due) > 0 && !f.due[0].at.After(end) {
-		next := heap.Pop(&f.due).(item)
+		next := heap.Pop(&f.due).(scheduledAction)
 		f.now = next.at
-		next.do()
+		next.action()
 	}
 	f.now = end
 }
 
 // deliver passes an event to an instance. While the instance is frozen, the event is delayed and
 // ticks are dropped.
-func (f *fleet) deliver(m *member, event core.Event) {
+func (f *fleet) deliver(m *fakeInstance, event core.Event) {
 	incarnation := m.incarnation
-	if wait := m.frozenTill.Sub(f.now); wait > 0 {
+	if wait := m.frozenUntil.Sub(f.now); wait > 0 {
 		if _, tick := event.(core.Ticked); tick {
 			return
 		}
-		f.after(wait, func() {
+		f.schedule(wait, func() {
 			if m.incarnation == incarnation {
 				f.deliver(m, event)
 			}
@@ -231,27 +232,27 @@
 }
 
 // handle passes an event to a node at once and carries out the resulting effects.
-func (f *fleet) handle(m *member, event core.Event) {
+func (f *fleet) handle(m *fakeInstance, event core.Event) {
 	if e, ok := event.(core.RequestArrived); ok {
 		f.requests[e.Request].at = f.now
 	}
 	for _, effect := range append([]core.Effect(nil), m.node.Handle(f.now, event)...) {
-		f.carryOut(m, effect)
+		f.applyEffect(m, effect)
 	}
 }
 
 // reply delivers an event after d, unless the instance has restarted by then.
-func (f *fleet) reply(m *member, d time.Duration, event core.Event) {
+func (f *fleet) reply(m *fakeInstance, d time.Duration, event core.Event) {
 	incarnation := m.incarnation
-	f.after(d, func() {
+	f.schedule(d, func() {
 		if m.incarnation == incarnation {
 			f.deliver(m, event)
 		}
 	})
 }
 
-// carryOut carries out one effect of a node.
-func (f *fleet) carryOut(m *member, effect core.Effect) {
+// applyEffect carries out one effect of a node.
+func (f *fleet) applyEffect(m *fakeInstance, effect core.Effect) {
 	f.callStore(m, effect)
 	switch e := effect.(type) {
 	case core.SendAttempt:
@@ -262,15 +263,15 @@
 		f.attempt(m, e)
 	case core.Finish:
 		s := f.requests[e.Request]
-		s.outcome, s.why, s.first, s.ended = e.Outcome, e.Reason, e.First, f.now
+		s.outcome, s.reason, s.first, s.ended = e.Outcome, e.Reason, e.First, f.now
 	case core.SendPeer:
 		f.send(m, e)
 	case core.SetPeers:
-		m.wanted = e.Peers
+		m.wantedPeers = e.Peers
 		f.connect(m)
-	case core.ConfigTaken:
+	case core.ConfigApplied:
 		if e.Generation < m.generation {
-			f.reverts++
+			f.rollbacks++
 		}
 		m.generation, m.edit, m.takenAt = e.Generation, e.Edit, f.now
 	case core.Counted:
@@ -279,46 +280,46 @@
 }
 
 // callStore carries out the effect if it is a call to the store.
-func (f *fleet) callStore(m *member, effect core.Effect) {
+func (f *fleet) callStore(m *fakeInstance, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.StoreGet:
-		f.price++
+		f.storeCost++
 		f.calls["get"]++
 		f.store.get(m, e)
 	case core.StoreSwap:
 		f.calls["swap"]++
 		f.store.swap(m, e)
 	case core.StoreWatch:
-		f.price++
+		f.storeCost++
 		f.calls["watch"]++
 		m.watches++
 		f.store.watch(m, e)
 	case core.ListInstances:
 		f.calls["list"]++
-		f.price += tenth
+		f.storeCost += tenthOfCall
 		f.store.listInstances(m, e)
 	case core.Register:
 		f.calls["register"]++
 		f.store.register(m, e)
 	case core.RenewLease:
 		f.calls["renew"]++
-		f.price += tenth
+		f.storeCost += tenthOfCall
 		f.store.renew(m, e)
 	case core.ListBackends:
-		f.price++
+		f.storeCost++
 		f.calls["list-backends"]++
 		f.store.listBackends(m, e)
 	case core.WatchBackends:
-		f.price++
+		f.storeCost++
 		f.calls["watch-backends"]++
 		f.store.watchBackends(m, e)
 	}
 }
 
 // attempt runs a request at a backend server or fails to connect to it.
-func (f *fleet) attempt(m *member, e core.SendAttempt) {
+func (f *fleet) attempt(m *fakeInstance, e core.SendAttempt) {
 	s := f.requests[e.Request]
-	if f.random.Float64() < f.noAnswer {
+	if f.random.Float64() < f.dialFailureShare {
 		f.reply(m, time.Millisecond, core.AttemptEnded{Request: e.Request, Attempt: e.Attempt, Outcome: retry.NotSent})
 		return
 	}
@@ -326,7 +327,7 @@
 	s.ranAt = f.now
 	f.runs[s.key] = append(f.runs[s.key], s)
 	incarnation := m.incarnation
-	f.after(20*time.Millisecond, func() {
+	f.schedule(20*time.Millisecond, func() {
 		if m.incarnation == incarnation && !m.dead {
 			s.answered = true
 			f.deliver(m, core.AttemptEnded{Request: e.Request, Attempt: e.Attempt, Outcome: retry.Answered})
@@ -334,9 +335,9 @@
 	})
 }
 
-// member returns the instance with a name, or nil.
-func (f *fleet) member(name string) *member {
-	for _, m := range f.members {
+// instance returns the instance with a name, or nil.
+func (f *fleet) instance(name string) *fakeInstance {
+	for _, m := range f.instances {
 		if m.name == name {
 			return m
 		}
@@ -345,9 +346,9 @@
 }
 
 // send delivers a peer message if the two instances are linked.
-func (f *fleet) send(m *member, e core.SendPeer) {
-	to := f.member(e.To)
-	if to == nil || f.cut(m, to) || !m.peers[to.name] {
+func (f *fleet) send(m *fakeInstance, e core.SendPeer) {
+	to := f.instance(e.To)
+	if to == nil || f.linkCut(m, to) || !m.peers[to.name] {
 		f.calls["not-linked"]++
 		return
 	}
@@ -358,10 +359,10 @@
 }
 
 // connect establishes the links that an instance wants and that are possible.
-func (f *fleet) connect(m *member) {
-	for _, p := range m.wanted {
-		to := f.member(p.Name)
-		if to == nil || to.dead || m.peers[p.Name] || f.cut(m, to) {
+func (f *fleet) connect(m *fakeInstance) {
+	for _, p := range m.wantedPeers {
+		to := f.instance(p.Name)
+		if to == nil || to.dead || m.peers[p.Name] || f.linkCut(m, to) {
 			continue
 		}
 		m.peers[p.Name], to.peers[m.name] = true, true
@@ -370,9 +371,9 @@
 	}
 }
 
-// ask sends a non-idempotent request with a key to an instance.
-func (f *fleet) ask(m *member, key string) *sent {
-	s := &sent{id: core.RequestID(fmt.Sprintf("r%d", len(f.requests))), key: key, at: f.now, by: m, incarnation: m.incarnation}
+// submit sends a non-idempotent request with a key to an instance.
+func (f *fleet) submit(m *fakeInstance, key string) *callerRequest {
+	s := &callerRequest{id: core.RequestID(fmt.Sprintf("r%d", len(f.requests))), key: key, at: f.now, instance: m, incarnation: m.incarnation}
 	f.requests[s.id] = s
 	f.deliver(m, core.RequestArrived{
 		Request: s.id, Customer: "branch", Service: "notes", NonIdempotent: true, Key: key,
@@ -380,31 +381,31 @@
 	return s
 }
 
-// tally counts violations of guarantees. doubled counts requests that ran twice, untrue counts
-// requests that ran although they were refused as not run, and lost counts requests without a
-// result although their instance is running.
-type tally struct{ lost, doubled, untrue int }
+// violations counts violations of guarantees. duplicated counts requests that ran twice,
+// falselyNotRun counts requests that ran although they were refused as not run, and lost counts
+// requests without a result although their instance is running.
+type violations struct{ lost, duplicated, falselyNotRun int }
 
-// tally counts the violations among all requests so far, for a claim window.
-func (f *fleet) tally(window time.Duration) tally {
-	var count tally
+// countViolations counts the violations among all requests so far, for a claim window.
+func (f *fleet) countViolations(window time.Duration) violations {
+	var count violations
 	for _, runs := range f.runs {
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if a == b || b.at.Sub(a.at) < window {
-					count.doubled++
+					count.duplicated++
 				}
 			}
 		}
 	}
 	for _, s := range f.requests {
 		if s.runs > 0 && s.ranAt.Sub(s.at) >= window {
-			count.doubled++ // the claim had expired, so another request with the key could run
+			count.duplicated++ // the claim had expired, so another request with the key could run
 		}
 		if s.outcome == reason.NotRun && s.runs > 0 {
-			count.untrue++
+			count.falselyNotRun++
 		}
-		if s.outcome == "" && !s.answered && !s.by.dead && s.by.incarnation == s.incarnation {
+		if s.outcome == "" && !s.answered && !s.instance.dead && s.instance.incarnation == s.incarnation {
 			count.lost++
 		}
 	}
