--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -12,55 +12,56 @@
 // A few instances, the followers, watch the store and send its changes to all others. If every
 // instance had a watch, each change would cost one call per instance.
 const (
-	// leastFollowers is the minimum number of followers. With more zones there is one per zone,
+	// minFollowers is the minimum number of followers. With more zones there is one per zone,
 	// so that a zone that is cut off from the others, but not from the store, still receives
 	// changes.
-	leastFollowers = 3
-	// mostStandIns is the maximum number of instances that replace lost followers. If the store
-	// answers no instance, more would only add failing calls.
-	mostStandIns = 3
-	// lossLife is how long a follower counts as lost after the last report of its loss.
-	lossLife = 4 * time.Second
-	// followerSilence is the maximum age of the store's last answer to any instance, as far as
+	minFollowers = 3
+	// maxReplacementFollowers is the maximum number of instances that replace lost followers.
+	// If the store answers no instance, more would only add failing calls.
+	maxReplacementFollowers = 3
+	// followerLossTimeout is how long a follower counts as lost after the last report of its loss.
+	followerLossTimeout = 4 * time.Second
+	// storeSilenceLimit is the maximum age of the store's last answer to any instance, as far as
 	// this one knows, before more instances follow the store. It covers a watch without
 	// changes, and the rounds that its result takes to cross a large fleet.
-	followerSilence = 12 * time.Second
-	// followerStep is the additional silence after which the number of followers doubles again.
+	storeSilenceLimit = 12 * time.Second
+	// storeSilenceStep is the additional silence after which the number of followers doubles again.
 	// During an outage no call succeeds, so the whole fleet must not start calling at once.
-	followerStep = 3 * time.Second
-	// mostDoublings limits the doublings. With that many, all instances of the largest fleet
+	storeSilenceStep = 3 * time.Second
+	// maxFollowerDoublings limits the doublings. With that many, all instances of the largest fleet
 	// follow the store.
-	mostDoublings = 10
-	// hearsNobodyAfter is the time without messages from any peer after which an instance
+	maxFollowerDoublings = 10
+	// isolationTimeout is the time without messages from any peer after which an instance
 	// considers itself cut off: two heartbeats.
-	hearsNobodyAfter = 2 * heartbeat
-	// lossEvery is the interval at which a peer is told again of a follower that is still lost.
-	lossEvery = time.Second
-	// meshBeat and hopBeat are the maximum intervals between a follower's digests, in a full
-	// mesh and in a larger fleet.
-	meshBeat, hopBeat = 500 * time.Millisecond, time.Second
-	// joinSettle is how long a starting instance waits for other instances to appear before it
+	isolationTimeout = 2 * heartbeatInterval
+	// lossReportInterval is the interval at which a peer is told again of a follower that is
+	// still lost.
+	lossReportInterval = time.Second
+	// meshFollowerInterval and rowFollowerInterval are the maximum intervals between a
+	// follower's digests, in a full mesh and in a larger fleet.
+	meshFollowerInterval, rowFollowerInterval = 500 * time.Millisecond, time.Second
+	// joinSettleTime is how long a starting instance waits for other instances to appear before it
 	// may become a follower by rank. Instances that start together find each other in this
 	// time.
-	joinSettle = time.Second
+	joinSettleTime = time.Second
 	// lagTolerance is how long a peer may be ahead before this instance calls the store itself.
 	// Changes sent by peers arrive within a round or two.
 	lagTolerance = 1500 * time.Millisecond
-	// joinTolerance is the same limit for a starting instance that gets all data from its peers
+	// joinLagTolerance is the same limit for a starting instance that gets all data from its peers
 	// while no caller waits.
-	joinTolerance = 4 * time.Second
-	// callersWaitFor is how long a caller, even a refused one, counts as waiting for data that
-	// this instance lacks.
-	callersWaitFor = 2 * time.Second
-	// watchPause is the minimum time between two results of one watch. The time doubles while every
-	// watch returns changes. Changes during the pause arrive with a single call. Callers are
-	// not affected, because a leaving server keeps working for seconds and other followers
-	// pause at different times.
-	watchPause = 300 * time.Millisecond
-	// mostWatchPause is the limit of that doubling.
-	mostWatchPause = 1200 * time.Millisecond
-	// watchCalm is the time without changes after which the next change resets the pause.
-	watchCalm = 2 * mostWatchPause
+	joinLagTolerance = 4 * time.Second
+	// waitingCallerTimeout is how long a caller, even a refused one, counts as waiting for data
+	// that this instance lacks.
+	waitingCallerTimeout = 2 * time.Second
+	// minWatchPause is the minimum time between two results of one watch. The time doubles
+	// while every watch returns changes. Changes during the pause arrive with a single call.
+	// Callers are not affected, because a leaving server keeps working for seconds and other
+	// followers pause at different times.
+	minWatchPause = 300 * time.Millisecond
+	// maxWatchPause is the limit of that doubling.
+	maxWatchPause = 1200 * time.Millisecond
+	// watchQuietPeriod is the time without changes after which the next change resets the pause.
+	watchQuietPeriod = 2 * maxWatchPause
 )
 
 // followState holds which instances follow the store and what is known of their access to it.
@@ -72,194 +73,195 @@
 	wanted  int
 	// cause is the reason why this instance follows the store, notFollowing if it does not.
 	cause followCause
-	// lost maps each follower that cannot reach the store or is silent to the time when this
+	// lostAt maps each follower that cannot reach the store or is silent to the time when this
 	// was last reported.
-	lost map[string]time.Time
-	// heardAt and failedAt are the times when a store read or watch of this instance last
+	lostAt map[string]time.Time
+	// answeredAt and failedAt are the times when a store read or watch of this instance last
 	// succeeded and last failed.
-	heardAt, failedAt time.Time
-	// othersHeardAt is the time of the last success at another instance, as reported by peers.
-	othersHeardAt time.Time
+	answeredAt, failedAt time.Time
+	// peersAnsweredAt is the time of the last success at another instance, as reported by peers.
+	peersAnsweredAt time.Time
 	// aheadSince is the time since which a peer has been ahead of this instance, zero if none
 	// is. aheadEntry and aheadGeneration are that peer's entry revision and configuration
 	// generation.
 	aheadSince      time.Time
 	aheadEntry      uint64
 	aheadGeneration uint64
-	// callerAt is the last time a caller waited, or was refused, because data from the store or
-	// a peer was missing.
-	callerAt time.Time
+	// callerWaitedAt is the last time a caller waited, or was refused, because data from the
+	// store or a peer was missing.
+	callerWaitedAt time.Time
 }
 
 // followCause is the reason why an instance follows the store.
 type followCause string
 
 const (
-	notFollowing      followCause = ""
-	followsInTurn     followCause = "it is one of the fleet's followers"
-	followsForLost    followCause = "followers are lost"
-	followsBehind     followCause = "a peer knows more"
-	followsForCallers followCause = "callers wait"
-	followsAlone      followCause = "no message from any peer"
-	followsInSilence  followCause = "the store answers no instance"
+	notFollowing          followCause = ""
+	followsByRank         followCause = "it is one of the fleet's followers"
+	followsAsReplacement  followCause = "followers are lost"
+	followsWhileBehind    followCause = "a peer knows more"
+	followsForCallers     followCause = "callers wait"
+	followsWhileIsolated  followCause = "no message from any peer"
+	followsOnStoreSilence followCause = "the store answers no instance"
 )
 
 // tickFollow determines again whether this instance follows the store.
 func (n *Node) tickFollow() {
-	n.entries()
-	n.noteLostFollowers()
+	n.liveInstances()
+	n.detectLostFollowers()
 	previous := n.follow.cause
-	n.follow.cause = n.whyFollow()
+	n.follow.cause = n.chooseFollowCause()
 	switch {
 	case previous == n.follow.cause:
 	case n.follow.cause == notFollowing:
-		n.emit(Learned{Subject: OfStore, State: "not followed"})
+		n.emit(StateChanged{Subject: SubjectStore, State: "not followed"})
 	default:
-		n.emit(Learned{Subject: OfStore, State: "followed", Cause: string(n.follow.cause)})
+		n.emit(StateChanged{Subject: SubjectStore, State: "followed", Cause: string(n.follow.cause)})
 	}
 }
 
 // follows reports whether this instance reads and watches the store.
 func (n *Node) follows() bool { return n.follow.cause != notFollowing }
 
-// whyFollow returns the reason for this instance to follow the store: it is one of the fleet's
-// followers or replaces a lost one, it is behind a peer, callers wait, it is isolated from its
-// peers, or no instance has got an answer from the store for long.
-func (n *Node) whyFollow() followCause {
+// chooseFollowCause returns the reason for this instance to follow the store: it is one of the
+// fleet's followers or replaces a lost one, it is behind a peer, callers wait, it is isolated
+// from its peers, or no instance has got an answer from the store for long.
+func (n *Node) chooseFollowCause() followCause {
 	f := &n.follow
 	switch {
-	case n.lagging():
-		return followsBehind
-	case n.callersWait():
+	case n.behindPeers():
+		return followsWhileBehind
+	case n.callersWaiting():
 		return followsForCallers
 	case n.joining():
 		return notFollowing
 	case f.rank < f.wanted:
-		return followsInTurn
-	case n.hearsNobody():
-		return followsAlone
-	case f.rank < f.wanted+mostStandIns && n.standing() < f.wanted:
-		return followsForLost
-	case f.rank < followersAfter(f.wanted, n.now.Sub(n.storeHeardAt())):
-		return followsInSilence
+		return followsByRank
+	case n.isolated():
+		return followsWhileIsolated
+	case f.rank < f.wanted+maxReplacementFollowers && n.healthyRank() < f.wanted:
+		return followsAsReplacement
+	case f.rank < followersAfterSilence(f.wanted, n.now.Sub(n.storeAnsweredAt())):
+		return followsOnStoreSilence
 	default:
 		return notFollowing
 	}
 }
 
-// standing returns this instance's rank among those that are not lost.
-func (n *Node) standing() int {
+// healthyRank returns this instance's rank among those that are not lost.
+func (n *Node) healthyRank() int {
 	f := &n.follow
 	rank := 0
 	for _, name := range f.ranking[:f.rank] {
-		if !n.lostFollower(name) {
+		if !n.isLostFollower(name) {
 			rank++
 		}
 	}
 	return rank
 }
 
-func (n *Node) lostFollower(name string) bool {
-	at, known := n.follow.lost[name]
-	return known && n.now.Sub(at) < lossLife
+func (n *Node) isLostFollower(name string) bool {
+	at, known := n.follow.lostAt[name]
+	return known && n.now.Sub(at) < followerLossTimeout
 }
 
-// noteLostFollowers records neighbouring followers that are silent for longer than a follower
+// detectLostFollowers records neighbouring followers that are silent for longer than a follower
 // may be, and this instance itself if its calls to the store fail. A follower that is killed or
 // cut off must be replaced before the changes that it misses are overdue in the fleet. Peers
 // that receive only loads are left out: while instances join and leave, the two ends may
 // disagree about that link for seconds.
-func (n *Node) noteLostFollowers() {
+func (n *Node) detectLostFollowers() {
 	f := &n.follow
 	for _, name := range f.ranking[:min(len(f.ranking), f.wanted)] {
 		p := n.peers.byName[name]
-		if p != nil && n.hearsFacts(name) && n.now.Sub(p.heardAt) > n.followerSilentAfter() {
-			n.learnLoss(name, n.now)
+		if p != nil && n.receivesFacts(name) && n.now.Sub(p.receivedAt) > n.followerTimeout() {
+			n.recordLostFollower(name, n.now)
 		}
 	}
-	if n.follows() && n.storeFails() {
-		n.learnLoss(n.settings.Name, n.now)
+	if n.follows() && n.storeFailing() {
+		n.recordLostFollower(n.settings.Name, n.now)
 	}
 }
 
-// learnLoss records a lost follower. The first report is sent to the peers at once.
-func (n *Node) learnLoss(name string, at time.Time) {
-	if !n.lostFollower(name) && n.now.Sub(at) < lossLife {
+// recordLostFollower records a lost follower. The first report is sent to the peers at once.
+func (n *Node) recordLostFollower(name string, at time.Time) {
+	if !n.isLostFollower(name) && n.now.Sub(at) < followerLossTimeout {
 		for _, p := range n.peers.byName {
 			p.lossesDue = n.now
 		}
-		n.hurryPeers()
+		n.sendDigestsNow()
 	}
-	n.follow.lost[name] = later(n.follow.lost[name], at)
+	n.follow.lostAt[name] = later(n.follow.lostAt[name], at)
 }
 
-// beats reports whether this instance's neighbours expect its digests at the follower interval.
-func (n *Node) beats() bool { return n.follow.rank < n.follow.wanted || n.follows() }
+// sendsFollowerDigests reports whether this instance's neighbours expect its digests at the
+// follower interval.
+func (n *Node) sendsFollowerDigests() bool { return n.follow.rank < n.follow.wanted || n.follows() }
 
-// followerBeat returns the maximum interval between a follower's digests.
-func (n *Node) followerBeat() time.Duration {
-	if n.apart() {
-		return hopBeat
+// followerDigestInterval returns the maximum interval between a follower's digests.
+func (n *Node) followerDigestInterval() time.Duration {
+	if n.multiHop() {
+		return rowFollowerInterval
 	}
-	return meshBeat
+	return meshFollowerInterval
 }
 
-// followerSilentAfter returns the silence after which a neighbouring follower counts as lost:
+// followerTimeout returns the silence after which a neighbouring follower counts as lost:
 // two intervals, since one digest may be late.
-func (n *Node) followerSilentAfter() time.Duration { return 2 * n.followerBeat() }
+func (n *Node) followerTimeout() time.Duration { return 2 * n.followerDigestInterval() }
 
-// addLosses adds the lost followers to a peer's digest, repeatedly while they are lost.
-func (n *Node) addLosses(p *peerState, d *Digest) {
+// addLostFollowers adds the lost followers to a peer's digest, repeatedly while they are lost.
+func (n *Node) addLostFollowers(p *peerState, d *Digest) {
 	if n.now.Before(p.lossesDue) {
 		return
 	}
-	p.lossesDue = n.now.Add(lossEvery)
-	for _, name := range sortedKeys(n.follow.lost) {
-		if !n.lostFollower(name) {
-			delete(n.follow.lost, name)
+	p.lossesDue = n.now.Add(lossReportInterval)
+	for _, name := range sortedKeys(n.follow.lostAt) {
+		if !n.isLostFollower(name) {
+			delete(n.follow.lostAt, name)
 			continue
 		}
-		d.LostFollowers = append(d.LostFollowers, FollowerLoss{Name: name, Age: n.now.Sub(n.follow.lost[name])})
+		d.LostFollowers = append(d.LostFollowers, FollowerLoss{Name: name, Age: n.now.Sub(n.follow.lostAt[name])})
 	}
 }
 
-// peerLosses merges the lost followers reported by a peer.
-func (n *Node) peerLosses(d *Digest) {
+// mergeLostFollowers merges the lost followers reported by a peer.
+func (n *Node) mergeLostFollowers(d *Digest) {
 	for _, loss := range d.LostFollowers {
-		n.learnLoss(loss.Name, n.now.Add(-loss.Age))
+		n.recordLostFollower(loss.Name, n.now.Add(-loss.Age))
 	}
 }
 
-// followersAfter returns the number of followers after the store has been silent for the given
-// time.
-func followersAfter(wanted int, silence time.Duration) int {
-	if silence <= followerSilence {
+// followersAfterSilence returns the number of followers after the store has been silent for the
+// given time.
+func followersAfterSilence(wanted int, silence time.Duration) int {
+	if silence <= storeSilenceLimit {
 		return 0
 	}
-	doublings := 1 + (silence-followerSilence)/followerStep
-	return wanted << min(doublings, mostDoublings)
+	doublings := 1 + (silence-storeSilenceLimit)/storeSilenceStep
+	return wanted << min(doublings, maxFollowerDoublings)
 }
 
 // joining reports whether this instance has just started and cannot know its rank yet, because
 // it has not read the list since the other starting instances appeared in it.
 func (n *Node) joining() bool {
-	settled := n.startedAt.Add(joinSettle)
+	settled := n.startedAt.Add(joinSettleTime)
 	if n.members.failures > 0 {
 		return n.now.Before(settled)
 	}
-	return n.members.read.Before(settled)
+	return n.members.readAt.Before(settled)
 }
 
-// hearsNobody reports whether this instance has received no message from any peer for so long
+// isolated reports whether this instance has received no message from any peer for so long
 // that it considers itself cut off from them.
-func (n *Node) hearsNobody() bool {
-	return n.now.Sub(later(n.members.lastHeard, n.startedAt)) > hearsNobodyAfter
+func (n *Node) isolated() bool {
+	return n.now.Sub(later(n.members.lastPeerContactAt, n.startedAt)) > isolationTimeout
 }
 
-// storeHeardAt returns the time when the store last answered any instance, as far as this one
+// storeAnsweredAt returns the time when the store last answered any instance, as far as this one
 // knows, or the start time of this instance if that is later.
-func (n *Node) storeHeardAt() time.Time {
-	return later(later(n.follow.heardAt, n.follow.othersHeardAt), n.startedAt)
+func (n *Node) storeAnsweredAt() time.Time {
+	return later(later(n.follow.answeredAt, n.follow.peersAnsweredAt), n.startedAt)
 }
 
 func later(a, b time.Time) time.Time {
@@ -269,63 +271,63 @@
 	return b
 }
 
-// lagging reports whether a peer has had a newer entry or configuration for longer than
+// behindPeers reports whether a peer has had a newer entry or configuration for longer than
 // tolerated, and this instance still lacks it.
-func (n *Node) lagging() bool {
+func (n *Node) behindPeers() bool {
 	f := &n.follow
-	if n.backends.has() >= f.aheadEntry && n.generation() >= f.aheadGeneration {
+	if n.backends.shareableRevision() >= f.aheadEntry && n.generation() >= f.aheadGeneration {
 		f.aheadSince = time.Time{}
 	}
 	tolerance := lagTolerance
-	if n.knowsTooLittle() {
-		tolerance = joinTolerance
+	if n.lacksData() {
+		tolerance = joinLagTolerance
 	}
 	return !f.aheadSince.IsZero() && n.now.Sub(f.aheadSince) > tolerance
 }
 
-// knowsTooLittle reports whether this instance lacks data that it needs to serve requests.
-func (n *Node) knowsTooLittle() bool {
-	return n.snapshot == nil || n.snapshot.FromPlatform() && n.backends.complete == 0
+// lacksData reports whether this instance lacks data that it needs to serve requests.
+func (n *Node) lacksData() bool {
+	return n.snapshot == nil || n.snapshot.FromPlatform() && n.backends.completeRevision == 0
 }
 
-// callersWait reports whether callers wait for data from the store. If callers are not directed
+// callersWaiting reports whether callers wait for data from the store. If callers are not directed
 // to another instance, as after a power failure of the whole fleet, a call to the store serves
 // them sooner than data that peers must collect first.
-func (n *Node) callersWait() bool {
-	at := n.follow.callerAt
-	return !at.IsZero() && n.now.Sub(at) < callersWaitFor && n.knowsTooLittle()
+func (n *Node) callersWaiting() bool {
+	at := n.follow.callerWaitedAt
+	return !at.IsZero() && n.now.Sub(at) < waitingCallerTimeout && n.lacksData()
 }
 
-// callerLacks records that a caller waits, or is refused, because this instance lacks data.
-func (n *Node) callerLacks() {
-	if n.knowsTooLittle() {
-		n.follow.callerAt = n.now
+// recordWaitingCaller records that a caller waits, or is refused, because this instance lacks data.
+func (n *Node) recordWaitingCaller() {
+	if n.lacksData() {
+		n.follow.callerWaitedAt = n.now
 	}
 }
 
-// storeFails reports whether the last call to the store failed. A single call then probes the
+// storeFailing reports whether the last call to the store failed. A single call then probes the
 // store, and all others wait for its result.
-func (n *Node) storeFails() bool { return n.follow.failedAt.After(n.follow.heardAt) }
+func (n *Node) storeFailing() bool { return n.follow.failedAt.After(n.follow.answeredAt) }
 
-// storeAnswered records a successful read or watch.
-func (n *Node) storeAnswered() { n.follow.heardAt = n.now }
+// recordStoreSuccess records a successful read or watch.
+func (n *Node) recordStoreSuccess() { n.follow.answeredAt = n.now }
 
-// storeFailed records a failed read or watch.
-func (n *Node) storeFailed() { n.follow.failedAt = n.now }
+// recordStoreFailure records a failed read or watch.
+func (n *Node) recordStoreFailure() { n.follow.failedAt = n.now }
 
-// watchPacing limits the rate of a watch's results.
-type watchPacing struct {
+// watchPacer limits the rate of a watch's results.
+type watchPacer struct {
 	changedAt time.Time
 	pause     time.Duration
 }
 
-// after returns the pause before the next call when a watch has returned a change.
-func (w *watchPacing) after(now time.Time) time.Duration {
-	if now.Sub(w.changedAt) > watchCalm {
+// pauseAfterChange returns the pause before the next call when a watch has returned a change.
+func (w *watchPacer) pauseAfterChange(now time.Time) time.Duration {
+	if now.Sub(w.changedAt) > watchQuietPeriod {
 		w.pause = 0
 	}
 	w.changedAt = now
-	w.pause = min(max(watchPause, 2*w.pause), mostWatchPause)
+	w.pause = min(max(minWatchPause, 2*w.pause), maxWatchPause)
 	return w.pause
 }
 
@@ -357,30 +359,30 @@
 		f.ranking = append(f.ranking, c.name)
 	}
 	f.rank = slices.Index(f.ranking, n.settings.Name)
-	f.wanted = max(leastFollowers, len(zones))
+	f.wanted = max(minFollowers, len(zones))
 }
 
 // storeAge returns the time since the store last answered any instance, or 0 if it never did.
 func (n *Node) storeAge() time.Duration {
-	at := later(n.follow.heardAt, n.follow.othersHeardAt)
+	at := later(n.follow.answeredAt, n.follow.peersAnsweredAt)
 	if at.IsZero() {
 		return 0
 	}
 	return max(time.Millisecond, n.now.Sub(at))
 }
 
-// peerStoreAge merges the store age reported by a peer.
-func (n *Node) peerStoreAge(age time.Duration) {
+// mergeStoreAge merges the store age reported by a peer.
+func (n *Node) mergeStoreAge(age time.Duration) {
 	if age > 0 {
-		n.follow.othersHeardAt = later(n.follow.othersHeardAt, n.now.Add(-age))
+		n.follow.peersAnsweredAt = later(n.follow.peersAnsweredAt, n.now.Add(-age))
 	}
 }
 
-// compareWithPeer records that a peer has a newer entry or configuration. A peer with only a
+// recordPeerAhead records that a peer has a newer entry or configuration. A peer with only a
 // higher store revision, and no entry changed since, is not ahead.
-func (n *Node) compareWithPeer(d *Digest) {
+func (n *Node) recordPeerAhead(d *Digest) {
 	f := &n.follow
-	if !f.aheadSince.IsZero() || d.EntriesUpTo <= n.backends.has() && d.Generation <= n.generation() {
+	if !f.aheadSince.IsZero() || d.EntriesUpTo <= n.backends.shareableRevision() && d.Generation <= n.generation() {
 		return
 	}
 	f.aheadSince, f.aheadEntry, f.aheadGeneration = n.now, d.EntriesUpTo, d.Generation
--- a/internal/core/followers_test.go
+++ b/internal/core/followers_test.go
@@ -12,13 +12,13 @@
 
 // followers returns the instances that watch the store, determined from their calls.
 func (f *fleet) followers() map[string]bool {
-	for _, m := range f.members {
+	for _, m := range f.instances {
 		m.watches = 0
 	}
-	f.put(f.members[0].generation, f.members[0].edit, entriesText)
+	f.putConfig(f.instances[0].generation, f.instances[0].edit, entriesText)
 	f.run(time.Second)
 	list := make(map[string]bool)
-	for _, m := range f.members {
+	for _, m := range f.instances {
 		if m.watches > 0 {
 			list[m.name] = true
 		}
@@ -30,24 +30,24 @@
 // and an engine starts to leave. No other instance called the store, so requests used the old
 // configuration and the leaving engine for ten seconds. Operators allow two in a small fleet
 // and three in a large one.
-func TestNewsGoesOnWhenAllFollowersAreCutOff(t *testing.T) {
+func TestChangesArriveWhenAllFollowersAreCutOff(t *testing.T) {
 	for _, size := range []struct {
 		instances, zones int
 		within           time.Duration
 	}{{9, 4, 2 * time.Second}, {60, 4, 3 * time.Second}, {60, 1, 3 * time.Second}} {
 		t.Run(fmt.Sprint(size.instances, size.zones), func(t *testing.T) {
-			f := settledFleet(t, size.instances, size.zones, 12)
+			f := newSettledFleet(t, size.instances, size.zones, 12)
 			f.run(5 * time.Second)
 			lost := f.followers()
 			require.GreaterOrEqual(t, len(lost), 3)
 			require.LessOrEqual(t, len(lost), max(3, size.zones))
-			f.cutOff = func(m *member) bool { return lost[m.name] }
-			f.cut = func(a, b *member) bool { return lost[a.name] || lost[b.name] }
-			f.put(2, "second", entriesText)
+			f.platformCut = func(m *fakeInstance) bool { return lost[m.name] }
+			f.linkCut = func(a, b *fakeInstance) bool { return lost[a.name] || lost[b.name] }
+			f.putConfig(2, "second", entriesText)
 			f.store.putEntry("engine-3", engineEntry(3, membership.Leaving))
-			took := f.heardBy(t, 11, func(m *member) bool { return !lost[m.name] })
+			took := f.timeUntilUsed(t, 11, func(m *fakeInstance) bool { return !lost[m.name] })
 			f.run(100 * time.Millisecond)
-			for _, m := range f.members {
+			for _, m := range f.instances {
 				require.True(t, lost[m.name] || m.generation == 2, "%s has the change", m.name)
 			}
 			t.Logf("followers %v cut off: all others updated after %v", lost, took)
@@ -59,28 +59,28 @@
 // The store answers no instance for 10 seconds. Each instance that calls it in vain costs its
 // operators one call a second, so only a few may do so. All instances must learn the changes
 // once the store is back.
-func TestAnOutageIsNotAskedAboutByAll(t *testing.T) {
-	f := settledFleet(t, 60, 4, 12)
+func TestFewInstancesCallStoreDuringOutage(t *testing.T) {
+	f := newSettledFleet(t, 60, 4, 12)
 	f.run(10 * time.Second)
-	normalCalls := f.price
-	f.price = 0
+	normalCalls := f.storeCost
+	f.storeCost = 0
 	f.store.down = true
 	f.run(9 * time.Second)
 	f.store.putEntry("engine-3", engineEntry(3, membership.Leaving))
 	f.run(time.Second)
 	f.store.down = false
-	took := f.heardBy(t, 11, everyone)
-	t.Logf("%.0f calls in ten seconds of outage, %.0f in ten normal seconds; all instances updated %v after its end", f.price, normalCalls, took)
+	took := f.timeUntilUsed(t, 11, everyMember)
+	t.Logf("%.0f calls in ten seconds of outage, %.0f in ten normal seconds; all instances updated %v after its end", f.storeCost, normalCalls, took)
 	require.Less(t, took, 2*time.Second)
-	require.Less(t, f.price, normalCalls+300)
+	require.Less(t, f.storeCost, normalCalls+300)
 }
 
 // The store is down for some seconds and loses the leases of all engines. Engines that are
 // alive renew them within two seconds after its return. The followers saw the outage and wait
 // for that. They must not report the engines as gone meanwhile, or most of the fleet would
 // refuse requests that it could serve.
-func TestNobodyLeavesEnginesThatLapseWithTheStore(t *testing.T) {
-	f := settledFleet(t, 18, 5, 6)
+func TestEnginesStayInUseAfterLeaseLossInOutage(t *testing.T) {
+	f := newSettledFleet(t, 18, 5, 6)
 	f.store.down = true
 	f.run(5 * time.Second)
 	for i := range 6 {
@@ -88,25 +88,25 @@
 	}
 	f.store.down = false
 	for i := range 6 {
-		f.after(1500*time.Millisecond, func() {
+		f.schedule(1500*time.Millisecond, func() {
 			f.store.putEntry(fmt.Sprintf("engine-%d", i), engineEntry(i, membership.Live))
 		})
 	}
 	for range 60 {
 		f.run(100 * time.Millisecond)
-		require.Equal(t, 18, f.serving(6))
+		require.Equal(t, 18, f.servingCount(6))
 	}
 	f.store.putEntry("engine-3", nil)
-	require.Less(t, f.heardBy(t, 5, everyone), 2*time.Second, "a removed engine is no longer used")
+	require.Less(t, f.timeUntilUsed(t, 5, everyMember), 2*time.Second, "a removed engine is no longer used")
 }
 
 // Some instances are cut off from the store, and their calls fail for seconds. When an engine's
 // entry then ends without a drain notice, the others must stop using the engine without delay,
 // because the store was never down. They used to treat the entry as lapsed in an outage.
-func TestOthersFailuresDelayNoRemoval(t *testing.T) {
-	f := settledFleet(t, 60, 4, 12)
-	f.cutOff = func(m *member) bool { return m.zone == "zone-1" }
+func TestRemovalIsNotDelayedByOtherInstancesFailures(t *testing.T) {
+	f := newSettledFleet(t, 60, 4, 12)
+	f.platformCut = func(m *fakeInstance) bool { return m.zone == "zone-1" }
 	f.run(3 * time.Second)
 	f.store.putEntry("engine-3", nil)
-	require.Less(t, f.heardBy(t, 11, func(m *member) bool { return m.zone != "zone-1" }), time.Second)
+	require.Less(t, f.timeUntilUsed(t, 11, func(m *fakeInstance) bool { return m.zone != "zone-1" }), time.Second)
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-var rewrite = flag.Bool("rewrite", false, "rewrite the golden files with the current output")
+var updateGolden = flag.Bool("rewrite", false, "rewrite the golden files with the current output")
 
 // TestGoldenSessions replays each session file under testdata and compares the effects. The
 // first line holds the node's settings, lines with "event" are its input, and lines with
@@ -28,8 +28,8 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			want, err := os.ReadFile(file)
 			require.NoError(t, err)
-			got := playSession(t, want)
-			if *rewrite {
+			got := replaySession(t, want)
+			if *updateGolden {
 				require.NoError(t, os.WriteFile(file, got, 0o644))
 			}
 			require.Equal(t, string(want), string(got))
@@ -37,9 +37,9 @@
 	}
 }
 
-// playSession replays a session's events on a new node and returns the session with the
+// replaySession replays a session's events on a new node and returns the session with the
 // resulting effects. Lines that begin with # are comments.
-func playSession(t *testing.T, session []byte) []byte {
+func replaySession(t *testing.T, session []byte) []byte {
 	t.Helper()
 	var node *core.Node
 	var out bytes.Buffer
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -23,12 +23,12 @@
 // One engine of twelve fails half of its requests while its health check passes. It must be marked
 // as an outlier after its third failure, and again for longer if it still fails when the mark has
 // expired. The other engines stay unmarked.
-func TestAServerThatFailsMoreThanTheOthers(t *testing.T) {
+func TestServerWithMoreFailuresIsOutlier(t *testing.T) {
 	tracker, names, now := health.New(), pool(12), start
 	round := func(failing bool) []string {
 		now = now.Add(time.Second)
 		for i, name := range names {
-			if tracker.Suspect(name, now) {
+			if tracker.IsOutlier(name, now) {
 				continue
 			}
 			c := health.Count{Answers: 6}
@@ -37,42 +37,42 @@
 			}
 			tracker.Add(name, c, now)
 		}
-		return tracker.Judge(names, now)
+		return tracker.DetectOutliers(names, now)
 	}
 	require.Equal(t, names[3:4], round(true))
-	require.True(t, tracker.Suspect(names[3], now.Add(1900*time.Millisecond)))
+	require.True(t, tracker.IsOutlier(names[3], now.Add(1900*time.Millisecond)))
 	require.Empty(t, round(true))
 	require.Equal(t, names[3:4], round(true), "failed again after the first mark expired")
-	require.True(t, tracker.Suspect(names[3], now.Add(3900*time.Millisecond)), "marked for longer")
+	require.True(t, tracker.IsOutlier(names[3], now.Add(3900*time.Millisecond)), "marked for longer")
 	for range 6 {
 		require.Empty(t, round(false))
 	}
-	require.False(t, tracker.Suspect(names[3], now))
+	require.False(t, tracker.IsOutlier(names[3], now))
 }
 
 // All servers fail the same share of requests, for example during an outage of a dependency or
 // because of requests that fail at any server. Avoiding some of the servers would only add load
 // to the others.
-func TestWhereAllFailAlikeNoneIsSuspect(t *testing.T) {
+func TestNoOutlierIfAllFailEqually(t *testing.T) {
 	tracker, names := health.New(), pool(12)
 	for second := range 20 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for i, name := range names {
 			tracker.Add(name, health.Count{Answers: 6, Failures: 2 + (i+second)%3}, now)
 		}
-		require.Empty(t, tracker.Judge(names, now))
+		require.Empty(t, tracker.DetectOutliers(names, now))
 	}
 }
 
 // Failures outside the window, too few failures, and failures of a service's only server must not
 // mark an outlier.
-func TestWhatSaysNothing(t *testing.T) {
+func TestInsufficientDataMarksNoOutlier(t *testing.T) {
 	tracker, names := health.New(), pool(3)
 	tracker.Add(names[0], health.Count{Answers: 2, Failures: 2}, start)
 	tracker.Add(names[1], health.Count{Answers: 9}, start)
-	require.Empty(t, tracker.Judge(names, start))
+	require.Empty(t, tracker.DetectOutliers(names, start))
 	tracker.Add(names[0], health.Count{Answers: 2, Failures: 2}, start.Add(time.Minute))
-	require.Empty(t, tracker.Judge(names, start.Add(time.Minute)))
+	require.Empty(t, tracker.DetectOutliers(names, start.Add(time.Minute)))
 	tracker.Add(names[2], health.Count{Answers: 9, Failures: 9}, start.Add(time.Minute))
-	require.Empty(t, tracker.Judge(names[2:], start.Add(time.Minute)))
+	require.Empty(t, tracker.DetectOutliers(names[2:], start.Add(time.Minute)))
 }
--- a/internal/core/herd_test.go
+++ b/internal/core/herd_test.go
@@ -14,30 +14,30 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// counterText configures a plain service whose servers have entries of their own.
-const counterText = `{
+// plainServiceText configures a plain service whose servers have entries of their own.
+const plainServiceText = `{
   "services": [{"name": "counter", "kind": "plain", "from_platform": true, "skew_bound": 2, "skew_slack": 3}],
   "customers": [{"name": "branch"}],
 }`
 
-// counter is a fake server of a plain service, with some slots and a queue.
-type counter struct {
+// plainServer is a fake server of a plain service, with some slots and a queue.
+type plainServer struct {
 	name string
 	// busyUntil is the time at which each slot becomes free, inFlight the number of running
-	// and queued requests, and most the highest value of inFlight.
-	busyUntil []time.Time
-	inFlight  int
-	most      int
-	served    int
+	// and queued requests, and maxInFlight the highest value of inFlight.
+	busyUntil   []time.Time
+	inFlight    int
+	maxInFlight int
+	served      int
 }
 
 const (
-	counterSlots = 6
-	counterWork  = 30 * time.Millisecond
+	plainServerSlots       = 6
+	plainServerRequestTime = 30 * time.Millisecond
 )
 
-// take runs or queues a request and returns the time of its answer.
-func (s *counter) take(now time.Time) time.Time {
+// serve runs or queues a request and returns the time of its answer.
+func (s *plainServer) serve(now time.Time) time.Time {
 	slot := 0
 	for i, until := range s.busyUntil {
 		if until.Before(s.busyUntil[slot]) {
@@ -48,10 +48,10 @@
 	if s.busyUntil[slot].After(start) {
 		start = s.busyUntil[slot]
 	}
-	s.busyUntil[slot] = start.Add(counterWork)
+	s.busyUntil[slot] = start.Add(plainServerRequestTime)
 	s.inFlight++
 	s.served++
-	s.most = max(s.most, s.inFlight)
+	s.maxInFlight = max(s.maxInFlight, s.inFlight)
 	return s.busyUntil[slot]
 }
 
@@ -61,24 +61,24 @@
 // received a report from that moment kept it as the load until the next report, and none
 // came, because they sent no requests to servers that seemed full. One request in twenty was
 // refused while the servers were half idle.
-func TestNobodyIsRefusedByASmallServiceThatIsHalfIdle(t *testing.T) {
-	f := emptyFleet(3, 90, 3)
+func TestNoRefusalsFromStaleReportsOfHalfIdleService(t *testing.T) {
+	f := newStoppedFleet(3, 90, 3)
 	f.noPolls = true
-	f.start(counterText)
-	var servers []*counter
+	f.start(plainServiceText)
+	var servers []*plainServer
 	for i := range 2 {
-		s := &counter{name: fmt.Sprintf("counter-%d", i+1), busyUntil: make([]time.Time, counterSlots)}
+		s := &plainServer{name: fmt.Sprintf("counter-%d", i+1), busyUntil: make([]time.Time, plainServerSlots)}
 		servers = append(servers, s)
-		f.store.putEntry(s.name, &membership.Instance{
-			Name: s.name, Role: membership.Backend, Service: "counter", Zone: fmt.Sprintf("zone-%d", i+1),
-			Address: "127.0.0.1:9", Slots: counterSlots, Incarnation: 1, State: membership.Live,
+		f.store.putEntry(s.name, &membership.Member{
+			Name: s.name, Role: membership.RoleBackend, Service: "counter", Zone: fmt.Sprintf("zone-%d", i+1),
+			Address: "127.0.0.1:9", Slots: plainServerSlots, Incarnation: 1, State: membership.Live,
 		})
 	}
 	f.run(8 * time.Second)
-	f.serve = func(m *member, e core.SendAttempt) {
-		s := servers[slices.IndexFunc(servers, func(s *counter) bool { return s.name == e.Backend })]
-		done := s.take(f.now)
-		f.after(done.Sub(f.now), func() {
+	f.serve = func(m *fakeInstance, e core.SendAttempt) {
+		s := servers[slices.IndexFunc(servers, func(s *plainServer) bool { return s.name == e.Backend })]
+		done := s.serve(f.now)
+		f.schedule(done.Sub(f.now), func() {
 			report := membership.Report{Backend: s.name, Incarnation: 1, InFlight: s.inFlight, At: f.now, State: membership.Live}
 			s.inFlight--
 			f.deliver(m, core.AnswerStarted{Request: e.Request, Attempt: e.Attempt, Load: &report})
@@ -86,12 +86,12 @@
 		})
 	}
 	const perSecond, seconds, burst = 210, 12, 30
-	send := func() { f.askCounter(f.members[f.random.IntN(90)]) }
+	send := func() { f.requestCounter(f.instances[f.random.IntN(90)]) }
 	for range (perSecond - burst) * seconds {
-		f.after(time.Duration(f.random.Int64N(int64(seconds*time.Second))), send)
+		f.schedule(time.Duration(f.random.Int64N(int64(seconds*time.Second))), send)
 	}
 	for i := range seconds * burst {
-		f.after(time.Duration(i/burst)*time.Second, send)
+		f.schedule(time.Duration(i/burst)*time.Second, send)
 	}
 	f.run((seconds + 1) * time.Second)
 	refused := 0
@@ -101,15 +101,15 @@
 		}
 	}
 	for _, s := range servers {
-		t.Logf("%s: %d requests served, at most %d in flight", s.name, s.served, s.most)
+		t.Logf("%s: %d requests served, at most %d in flight", s.name, s.served, s.maxInFlight)
 	}
 	t.Logf("%d of %d requests refused", refused, perSecond*seconds)
 	require.Less(t, refused, perSecond*seconds/500)
 }
 
-// askCounter sends a request for the counter service to an instance.
-func (f *fleet) askCounter(m *member) {
-	request := &sent{id: core.RequestID(fmt.Sprintf("counter-%d", len(f.requests))), at: f.now, by: m, incarnation: m.incarnation}
+// requestCounter sends a request for the counter service to an instance.
+func (f *fleet) requestCounter(m *fakeInstance) {
+	request := &callerRequest{id: core.RequestID(fmt.Sprintf("counter-%d", len(f.requests))), at: f.now, instance: m, incarnation: m.incarnation}
 	f.requests[request.id] = request
 	f.deliver(m, core.RequestArrived{Request: request.id, Customer: "branch", Service: "counter"})
 }
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -5,17 +5,17 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/routing"
 )
 
-// hinted returns the index of the candidate that the request's hint names, or routing.None. A
-// hint that names an earlier incarnation is ignored, because the cache was lost with that
-// process.
-func (n *Node) hinted(r *request, p *pool) int {
+// hintedCandidate returns the index of the candidate that the request's hint names, or
+// routing.None. A hint that names an earlier incarnation is ignored, because the cache was
+// lost with that process.
+func (n *Node) hintedCandidate(r *request, p *pool) int {
 	if r.arrived.Chat == "" {
 		return routing.None
 	}
 	hint, ok := routing.DecodeHint(r.arrived.Hint)
 	ok = ok && hint.Fresh(n.now)
 	if r.attempt == 0 {
-		n.hints.saw(r.arrived.Customer, ok)
+		n.hints.record(r.arrived.Customer, ok)
 	}
 	if !ok {
 		return routing.None
@@ -41,31 +41,31 @@
 type hintShares map[string]float64
 
 const (
-	// hintMemory is the window of the moving average, in turns.
-	hintMemory = 64
-	// hintingShare is the share from which a customer counts as sending hints.
-	hintingShare = 0.25
+	// hintShareWindow is the window of the moving average, in turns.
+	hintShareWindow = 64
+	// minHintShare is the share from which a customer counts as sending hints.
+	minHintShare = 0.25
 )
 
-// saw updates a customer's share with one turn.
-func (s hintShares) saw(customer string, hinted bool) {
+// record updates a customer's share with one turn.
+func (s hintShares) record(customer string, hinted bool) {
 	value := 0.0
 	if hinted {
 		value = 1
 	}
-	s[customer] += (value - s[customer]) / hintMemory
+	s[customer] += (value - s[customer]) / hintShareWindow
 }
 
-// kind returns the kind of a request that has no valid hint.
-func (s hintShares) kind(r *request) routing.Kind {
-	if s[r.arrived.Customer] >= hintingShare {
+// requestKind returns the kind of a request that has no valid hint.
+func (s hintShares) requestKind(r *request) routing.Kind {
+	if s[r.arrived.Customer] >= minHintShare {
 		return routing.First
 	}
 	return routing.Unhinted
 }
 
-// forget drops the customers that the configuration no longer contains.
-func (s hintShares) forget(snapshot *config.Snapshot) {
+// prune drops the customers that the configuration no longer contains.
+func (s hintShares) prune(snapshot *config.Snapshot) {
 	for customer := range s {
 		if snapshot.Customer(customer) == nil {
 			delete(s, customer)
--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -21,34 +21,34 @@
 	return in != nil && in.Zone == n.settings.Zone
 }
 
-// hearsFacts reports whether a peer in the layout is sent facts in addition to loads. If all of
+// receivesFacts reports whether a peer in the layout is sent facts in addition to loads. If all of
 // them were, each fact would reach each zone over dozens of links.
-func (n *Node) hearsFacts(name string) bool {
-	return n.neighbour(name) && (!n.apart() || n.inOwnZone(name) || slices.Contains(n.peers.bridges, name))
+func (n *Node) receivesFacts(name string) bool {
+	return n.neighbour(name) && (!n.multiHop() || n.inOwnZone(name) || slices.Contains(n.peers.bridges, name))
 }
 
 // refreshLayout updates the layout after changes to the list of instances or to the set of
 // silent peers.
 func (n *Node) refreshLayout() {
-	if n.fleetChanged() {
-		n.peers.layoutAt = n.now
+	if n.updateLayoutMembers() {
+		n.peers.layoutChangedAt = n.now
 		n.peers.layout = mesh.New(mesh.Member{Name: n.settings.Name, Zone: n.settings.Zone}, n.peers.members)
 		n.pollOwnersChanged()
 	}
 	l := n.peers.layout
-	n.peers.sums.Lay(l, n.silent, n.peers.farLoads)
-	n.peers.bridges = l.Bridges(n.silent)
-	n.linkPeers(l.Peers(n.silent))
+	n.peers.sums.SetLayout(l, n.peerSilent, n.peers.crossZoneLoads)
+	n.peers.bridges = l.Bridges(n.peerSilent)
+	n.updateLinks(l.Peers(n.peerSilent))
 }
 
-// fleetChanged rereads the list of instances from the view and reports whether it changed.
-func (n *Node) fleetChanged() bool {
+// updateLayoutMembers rereads the list of instances from the view and reports whether it changed.
+func (n *Node) updateLayoutMembers() bool {
 	seq := n.view.Seq()
 	if n.peers.layout != nil && seq == n.peers.membersSeq {
 		return false
 	}
 	n.peers.membersSeq = seq
-	members := n.fleet()
+	members := n.layoutMembers()
 	if n.peers.layout != nil && slices.Equal(members, n.peers.members) {
 		return false
 	}
@@ -56,30 +56,30 @@
 	return true
 }
 
-// askForLink requests a link to an instance outside the layout: to the owner of a claim range,
+// requestLink requests a link to an instance outside the layout: to the owner of a claim range,
 // or to an instance that sent this one a claim. The message that triggers the request is lost.
 // Its sender retries or continues without the owner.
-func (n *Node) askForLink(name string) {
+func (n *Node) requestLink(name string) {
 	if n.peers.inLayout[name] || n.view.Get(name) == nil {
 		return
 	}
-	if n.peers.asked[name].IsZero() {
+	if n.peers.onDemand[name].IsZero() {
 		n.peers.nextLayout = n.now
 	}
-	n.peers.asked[name] = n.now.Add(askedFor)
+	n.peers.onDemand[name] = n.now.Add(onDemandLinkTimeout)
 }
 
-// outsider reports whether a known peer is outside the layout.
-func (n *Node) outsider(name string) bool {
+// outsideLayout reports whether a known peer is outside the layout.
+func (n *Node) outsideLayout(name string) bool {
 	return !n.peers.inLayout[name] && n.view.Get(name) != nil
 }
 
-// fleet returns the instances that are not gone, sorted by name. Leaving instances are
+// layoutMembers returns the instances that are not gone, sorted by name. Leaving instances are
 // included, because they still have requests in progress at the backend servers.
-func (n *Node) fleet() []mesh.Member {
+func (n *Node) layoutMembers() []mesh.Member {
 	members := []mesh.Member{{Name: n.settings.Name, Zone: n.settings.Zone}}
-	n.view.Each(func(in *membership.Instance) {
-		if in.Role == membership.Entry && in.State != membership.Gone && in.Name != n.settings.Name {
+	n.view.Each(func(in *membership.Member) {
+		if in.Role == membership.RoleInstance && in.State != membership.Gone && in.Name != n.settings.Name {
 			members = append(members, mesh.Member{Name: in.Name, Zone: in.Zone, Leaving: in.State == membership.Leaving})
 		}
 	})
@@ -87,8 +87,8 @@
 	return members
 }
 
-// linkPeers requests the links of the layout if they differ from the current ones.
-func (n *Node) linkPeers(names []string) {
+// updateLinks requests the links of the layout if they differ from the current ones.
+func (n *Node) updateLinks(names []string) {
 	previous := n.peers.inLayout
 	n.peers.inLayout = make(map[string]bool, len(names))
 	for _, name := range names {
@@ -96,11 +96,11 @@
 		if !previous[name] {
 			// A peer that was linked from outside the layout received few digests. It would
 			// consider this instance silent before the next one is due.
-			n.peer(name).due = n.now
+			n.peer(name).digestDue = n.now
 		}
 	}
-	maps.DeleteFunc(n.peers.asked, func(_ string, until time.Time) bool { return n.now.After(until) })
-	names = slices.AppendSeq(names, maps.Keys(n.peers.asked))
+	maps.DeleteFunc(n.peers.onDemand, func(_ string, until time.Time) bool { return n.now.After(until) })
+	names = slices.AppendSeq(names, maps.Keys(n.peers.onDemand))
 	slices.Sort(names)
 	var linked []PeerAddress
 	for _, name := range slices.Compact(names) {
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -13,21 +13,21 @@
 
 // Values of Subject.
 const (
-	// OfBackend is a backend server: its state, and whether it is reachable.
-	OfBackend Subject = "backend server"
-	// OfInstance is another instance of the fleet.
-	OfInstance Subject = "instance"
-	// OfLink is the link to another instance.
-	OfLink Subject = "link"
-	// OfStore is the platform's store.
-	OfStore Subject = "store"
-	// OfZone is an availability zone.
-	OfZone Subject = "zone"
+	// SubjectBackend is a backend server: its state, and whether it is reachable.
+	SubjectBackend Subject = "backend server"
+	// SubjectInstance is another instance of the fleet.
+	SubjectInstance Subject = "instance"
+	// SubjectLink is the link to another instance.
+	SubjectLink Subject = "link"
+	// SubjectStore is the platform's store.
+	SubjectStore Subject = "store"
+	// SubjectZone is an availability zone.
+	SubjectZone Subject = "zone"
 )
 
-// Learned reports that this instance's view of an object has changed. It is written to the log,
-// so that the facts behind later decisions can be looked up there.
-type Learned struct {
+// StateChanged reports that this instance's view of an object has changed. It is written to the
+// log, so that the facts behind later decisions can be looked up there.
+type StateChanged struct {
 	Subject Subject `json:"subject"`
 	Name    string  `json:"name,omitempty"`
 	// Names replaces Name if several objects change to the same state at once.
@@ -46,18 +46,18 @@
 }
 
 // EffectName returns the effect's name in session files.
-func (Learned) EffectName() string { return "learned" }
+func (StateChanged) EffectName() string { return "learned" }
 
-// manyMembers is the number of changes from one call or message from which they are logged as
-// one line per state. At startup there can be hundreds, and callers wait while the lines are
-// written.
-const manyMembers = 8
+// groupedLogThreshold is the number of changes from one call or message from which they are
+// logged as one line per state. At startup there can be hundreds, and callers wait while the
+// lines are written.
+const groupedLogThreshold = 8
 
-// learnedMembers logs the new states of instances and backend servers.
-func (n *Node) learnedMembers(names []string) {
-	if len(names) < manyMembers {
+// logMemberStates logs the new states of instances and backend servers.
+func (n *Node) logMemberStates(names []string) {
+	if len(names) < groupedLogThreshold {
 		for _, name := range names {
-			n.learnedMember(name)
+			n.logMemberState(name)
 		}
 		return
 	}
@@ -77,25 +77,25 @@
 	})
 	for _, k := range kinds {
 		slices.Sort(groups[k])
-		n.emit(Learned{Subject: k.subject, Names: groups[k], State: string(k.state), Revision: n.backends.newestEntry})
+		n.emit(StateChanged{Subject: k.subject, Names: groups[k], State: string(k.state), Revision: n.backends.newestEntryRevision})
 	}
 }
 
-// learnedMember logs the new state of an instance or backend server.
-func (n *Node) learnedMember(name string) {
+// logMemberState logs the new state of an instance or backend server.
+func (n *Node) logMemberState(name string) {
 	in := n.view.Get(name)
 	if in == nil {
 		return
 	}
-	n.emit(Learned{
+	n.emit(StateChanged{
 		Subject: subjectOf(in), Name: name, State: string(in.State), Service: in.Service, Address: in.Address,
-		Revision: n.backends.known(name), Incarnation: in.Incarnation,
+		Revision: n.backends.knownRevision(name), Incarnation: in.Incarnation,
 	})
 }
 
-func subjectOf(in *membership.Instance) Subject {
-	if in.Role == membership.Entry {
-		return OfInstance
+func subjectOf(in *membership.Member) Subject {
+	if in.Role == membership.RoleInstance {
+		return SubjectInstance
 	}
-	return OfBackend
+	return SubjectBackend
 }
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -13,18 +13,18 @@
 // A starting instance reads hundreds of members with one call while its first callers wait. One
 // log line per member took a tenth of a second of processor time. Operators must still find in
 // the log when the instance learned of a member, so the line must hold every name.
-func TestManyMembersLearntAtOnceAreOneLine(t *testing.T) {
-	s := newSolo(t, nil)
+func TestManyMemberChangesAreLoggedInOneLine(t *testing.T) {
+	s := newNodeHarness(t, nil)
 	// offerEntries sends engine entries from a peer and returns the resulting changes.
-	offerEntries := func(from, to int) []core.Learned {
+	offerEntries := func(from, to int) []core.StateChanged {
 		offer := &core.EntriesOffer{To: uint64(to)}
 		for i := from; i < to; i++ {
 			engine := engineEntry(i, membership.Live)
 			offer.Entries = append(offer.Entries, core.BackendEntry{Name: engine.Name, Revision: uint64(i + 1), Backend: engine})
 		}
-		var changes []core.Learned
+		var changes []core.StateChanged
 		for _, effect := range s.handle(core.PeerReceived{From: "entry-1", Message: core.PeerMessage{EntriesOffer: offer}}) {
-			if l, ok := effect.(core.Learned); ok {
+			if l, ok := effect.(core.StateChanged); ok {
 				changes = append(changes, l)
 			}
 		}
--- a/internal/core/load/load.go
+++ b/internal/core/load/load.go
@@ -4,24 +4,25 @@
 // The basis of an estimate depends on how much of the fleet sends digests to this instance, and
 // on how long the server's requests take:
 //
-//	Counts    the sum of this instance's requests in progress, which is exact; each peer's
-//	          count from its last digest, reduced once the peer is silent; and unseen, the
-//	          excess of the server's last report over the recent peak of these counts
-//	Reports   the same sum, but unseen is the difference between the report and the counts
-//	          at the time the report arrives; it may be negative and stays until the next
-//	          report
-//	Averages  the mean of the server's reports of the last second or, without recent
-//	          reports, the sum of the own and the peers' counts
+//	FromCounts    the sum of this instance's requests in progress, which is exact; each
+//	              peer's count from its last digest, reduced once the peer is silent; and
+//	              unseen, the excess of the server's last report over the recent peak of
+//	              these counts
+//	FromReports   the same sum, but unseen is the difference between the report and the
+//	              counts at the time the report arrives; it may be negative and stays until
+//	              the next report
+//	FromAverages  the mean of the server's reports of the last second or, without recent
+//	              reports, the sum of the own and the peers' counts
 //
-// Counts suits a fleet in which all instances exchange digests. A report is delayed by an
+// FromCounts suits a fleet in which all instances exchange digests. A report is delayed by an
 // unknown time, so only the part that the counts cannot explain is unseen, which is nearly
 // always zero. An instance that is cut off from its peers falls back on the last report plus
 // the requests it has sent since.
 //
-// Reports suits engines whose load comes partly from instances that send no digests to this
+// FromReports suits engines whose load comes partly from instances that send no digests to this
 // one, or late ones: the peak of the counts would hide that load.
 //
-// Averages suits servers whose requests end before any count of them arrives. With the last
+// FromAverages suits servers whose requests end before any count of them arrives. With the last
 // report or the last counts, all instances would choose the same idle server and avoid the same
 // busy one although both states are outdated.
 package load
@@ -38,26 +39,26 @@
 	// reportWindow is the maximum age of the load in a report when the report arrives. It covers
 	// a lag of 2 s and the interval between digests.
 	reportWindow = 3 * time.Second
-	// reportLife is the time for which a report counts if no newer one arrives.
-	reportLife = 10 * time.Second
-	// peerSilent is the time without digests after which a peer's counts begin to fade.
-	peerSilent = 3 * time.Second
-	// peerFading is the time in which the counts of a silent peer fade to zero. The requests of
+	// reportTTL is the time for which a report counts if no newer one arrives.
+	reportTTL = 10 * time.Second
+	// peerSilentAfter is the time without digests after which a peer's counts begin to fade.
+	peerSilentAfter = 3 * time.Second
+	// peerFadeTime is the time in which the counts of a silent peer fade to zero. The requests of
 	// a crashed instance end within about this time.
-	peerFading = 12 * time.Second
+	peerFadeTime = 12 * time.Second
 	// fadeSteps is the number of steps in which counts fade, so that a silent peer costs work
 	// only at each step. A power of two keeps all sums exact.
 	fadeSteps = 4
-	// clockStep is the time without accepted messages after which a sender's clock that was set
+	// clockResetAfter is the time without accepted messages after which a sender's clock that was set
 	// back is accepted.
-	clockStep = 10 * time.Second
+	clockResetAfter = 10 * time.Second
 	// sweepInterval is the interval at which reports and peers are aged.
 	sweepInterval = 500 * time.Millisecond
-	// averageSpan is the time constant of the moving average of reports and of its decay without
+	// averageWindow is the time constant of the moving average of reports and of its decay without
 	// reports.
-	averageSpan = time.Second
-	// leastAverage is the smallest average that does not count as zero.
-	leastAverage = 0.05
+	averageWindow = time.Second
+	// minAverage is the smallest average that does not count as zero.
+	minAverage = 0.05
 )
 
 // Basis selects how the load of a backend server is estimated.
@@ -65,12 +66,12 @@
 
 // The bases; see the package comment.
 const (
-	// Counts uses the own and peers' counts, plus the excess of the last report over their peak.
-	Counts Basis = iota
-	// Reports uses the last report plus the changes of the counts since.
-	Reports
-	// Averages uses the mean of the recent reports.
-	Averages
+	// FromCounts uses the own and peers' counts, plus the excess of the last report over their peak.
+	FromCounts Basis = iota
+	// FromReports uses the last report plus the changes of the counts since.
+	FromReports
+	// FromAverages uses the mean of the recent reports.
+	FromAverages
 )
 
 // Count is the number of requests of one instance at one backend server.
@@ -97,15 +98,16 @@
 	// basis is the basis given with the last report, and average the moving average of reports.
 	basis   Basis
 	average float64
-	// heard is the time at which the report arrived; zero if there is none.
-	heard time.Time
+	// reportedAt is the time at which the report arrived; zero if there is none.
+	reportedAt time.Time
 }
 
 // peer holds the counts received from one peer.
 type peer struct {
-	// at is the time of the last digest by the peer's clock, heard its arrival by our clock.
-	at    time.Time
-	heard time.Time
+	// sentAt is the time of the last digest by the peer's clock, receivedAt its arrival by the
+	// clock of this instance.
+	sentAt     time.Time
+	receivedAt time.Time
 	// weight is the factor applied to the peer's counts: 1 while digests arrive, 0 once they have
 	// faded.
 	weight float64
@@ -127,23 +129,23 @@
 	return b
 }
 
-// known returns the sum of the own and the peers' counts.
-func (b *backend) known() float64 { return float64(b.own) + b.peers }
+// counted returns the sum of the own and the peers' counts.
+func (b *backend) counted() float64 { return float64(b.own) + b.peers }
 
-// idle reports whether the record holds neither counts nor a recent report.
-func (b *backend) idle() bool { return b.own == 0 && b.peers == 0 && b.heard.IsZero() }
+// unused reports whether the record holds neither counts nor a recent report.
+func (b *backend) unused() bool { return b.own == 0 && b.peers == 0 && b.reportedAt.IsZero() }
 
 // Sent counts a request that this instance sends to a backend server.
 func (t *Tracker) Sent(name string, now time.Time) {
 	b := t.backend(name)
 	b.own++
-	b.peak.add(b.known(), now)
+	b.peak.add(b.counted(), now)
 }
 
 // Ended counts the end of a request of this instance.
 func (t *Tracker) Ended(name string, now time.Time) {
 	b := t.backend(name)
-	b.peak.add(b.known(), now)
+	b.peak.add(b.counted(), now)
 	b.own = max(0, b.own-1)
 }
 
@@ -155,14 +157,14 @@
 	return 0
 }
 
-// Heard returns the time at which a backend server's last report arrived, and whether there is a
-// recent one.
-func (t *Tracker) Heard(name string) (time.Time, bool) {
+// LastReport returns the time at which a backend server's last report arrived, and whether there
+// is a recent one.
+func (t *Tracker) LastReport(name string) (time.Time, bool) {
 	b := t.backends[name]
-	if b == nil || b.heard.IsZero() {
+	if b == nil || b.reportedAt.IsZero() {
 		return time.Time{}, false
 	}
-	return b.heard, true
+	return b.reportedAt, true
 }
 
 // EachOwn calls f for every backend server with requests of this instance, in no particular order.
@@ -182,7 +184,7 @@
 	Peers float64 `json:"peers,omitempty"`
 	// Unseen is the correction by the backend server's last report; it may be negative.
 	Unseen float64 `json:"unseen,omitempty"`
-	// Average is the mean of the server's recent reports; set only with the basis Averages.
+	// Average is the mean of the server's recent reports; set only with the basis FromAverages.
 	Average float64 `json:"average,omitempty"`
 }
 
@@ -192,7 +194,7 @@
 	switch {
 	case b == nil:
 		return Parts{}
-	case b.basis == Averages:
+	case b.basis == FromAverages:
 		return Parts{Own: b.own, Peers: b.peers, Average: b.average}
 	default:
 		return Parts{Own: b.own, Peers: b.peers, Unseen: b.unseen}
@@ -205,30 +207,31 @@
 	if b == nil {
 		return 0
 	}
-	if b.basis == Averages {
+	if b.basis == FromAverages {
 		return max(float64(b.own), b.average)
 	}
-	return max(0, b.known()+b.unseen)
+	return max(0, b.counted()+b.unseen)
 }
 
-// Digest applies the counts in a peer's digest: all of them if full is set, else those that
+// ApplyDigest applies the counts in a peer's digest: all of them if full is set, else those that
 // changed. It returns the backend servers whose estimate changed; the slice is valid until the
 // next call of the tracker.
 //
 // Digests may arrive late, twice or out of order. A digest that is older by the peer's own clock
-// is dropped, unless the peer was silent for clockStep, so that its clock must have been set back.
-func (t *Tracker) Digest(name string, at time.Time, full bool, counts []Count, now time.Time) []string {
+// is dropped, unless the peer was silent for clockResetAfter, so that its clock must have been set
+// back.
+func (t *Tracker) ApplyDigest(name string, at time.Time, full bool, counts []Count, now time.Time) []string {
 	t.changed = t.changed[:0]
 	p := t.peers[name]
 	if p == nil {
 		p = &peer{loads: make(map[string]int), weight: 1}
 		t.peers[name] = p
-	} else if at.Before(p.at) && now.Sub(p.heard) < clockStep {
+	} else if at.Before(p.sentAt) && now.Sub(p.receivedAt) < clockResetAfter {
 		return nil
 	}
-	p.at, p.heard = at, now
+	p.sentAt, p.receivedAt = at, now
 	if p.weight != 1 {
-		t.weigh(p, 1, now)
+		t.setWeight(p, 1, now)
 	}
 	if full {
 		t.zeroMissing(p, counts, now)
@@ -236,7 +239,7 @@
 	for _, c := range counts {
 		t.setLoad(p, c, now)
 	}
-	return t.sorted()
+	return t.sortedChanges()
 }
 
 // setLoad sets a peer's count at one backend server.
@@ -247,10 +250,10 @@
 		return
 	}
 	b := t.backend(c.Backend)
-	b.peak.add(b.known(), now)
+	b.peak.add(b.counted(), now)
 	b.peers += float64(inFlight-old) * p.weight
-	b.peak.add(b.known(), now)
-	if inFlight > old && b.basis == Counts {
+	b.peak.add(b.counted(), now)
+	if inFlight > old && b.basis == FromCounts {
 		// A report that arrived before this digest counted these requests as unseen. They
 		// would count twice until the next report, which takes seconds at an idle server.
 		b.unseen = max(0, b.unseen-float64(inFlight-old)*p.weight)
@@ -276,11 +279,11 @@
 	}
 }
 
-// weigh changes the weight of a peer's counts.
-func (t *Tracker) weigh(p *peer, weight float64, now time.Time) {
+// setWeight changes the weight of a peer's counts.
+func (t *Tracker) setWeight(p *peer, weight float64, now time.Time) {
 	for name, inFlight := range p.loads {
 		b := t.backend(name)
-		b.peak.add(b.known(), now)
+		b.peak.add(b.counted(), now)
 		b.peers += float64(inFlight) * (weight - p.weight)
 		t.changed = append(t.changed, name)
 	}
@@ -292,68 +295,68 @@
 func (t *Tracker) ForgetPeer(name string, now time.Time) []string {
 	t.changed = t.changed[:0]
 	if p := t.peers[name]; p != nil {
-		t.weigh(p, 0, now)
+		t.setWeight(p, 0, now)
 		delete(t.peers, name)
 	}
-	return t.sorted()
+	return t.sortedChanges()
 }
 
-// Report applies a backend server's own report of its load and reports whether the estimate
+// ApplyReport applies a backend server's own report of its load and reports whether the estimate
 // changed.
 //
 // The same report may arrive from a response header, a poll and several peers, in any order. A
 // report that is not newer by the server's own clock or that is from an earlier incarnation is
-// dropped. A clock that was set back is accepted after clockStep without reports.
-func (t *Tracker) Report(r membership.Report, basis Basis, now time.Time) bool {
+// dropped. A clock that was set back is accepted after clockResetAfter without reports.
+func (t *Tracker) ApplyReport(r membership.Report, basis Basis, now time.Time) bool {
 	b := t.backend(r.Backend)
-	if !b.heard.IsZero() && !newer(r, b, now) {
+	if !b.reportedAt.IsZero() && !supersedes(r, b, now) {
 		return false
 	}
 	old := t.Estimate(r.Backend)
-	b.averageIn(float64(r.InFlight), now)
-	b.report, b.heard, b.basis = r, now, basis
-	b.peak.add(b.known(), now)
-	b.unseen = b.beyond(float64(r.InFlight))
+	b.addToAverage(float64(r.InFlight), now)
+	b.report, b.reportedAt, b.basis = r, now, basis
+	b.peak.add(b.counted(), now)
+	b.unseen = b.unseenIn(float64(r.InFlight))
 	return t.Estimate(r.Backend) != old
 }
 
-// averageIn adds a report to the moving average. A single report, including the first, never has
+// addToAverage adds a report to the moving average. A single report, including the first, never has
 // most of the weight, since the load that it shows may have ended.
-func (b *backend) averageIn(reported float64, now time.Time) {
-	since := min(now.Sub(b.heard), averageSpan/2)
-	weight := 1 - math.Exp(-since.Seconds()/averageSpan.Seconds())
+func (b *backend) addToAverage(reported float64, now time.Time) {
+	since := min(now.Sub(b.reportedAt), averageWindow/2)
+	weight := 1 - math.Exp(-since.Seconds()/averageWindow.Seconds())
 	b.average += weight * (reported - b.average)
 }
 
-// fadeAverage decays an average without recent reports, but not below the own and the peers'
+// decayAverage decays an average without recent reports, but not below the own and the peers'
 // counts: a server that hangs sends no reports and would look idle while its queue grows. It
 // reports whether the estimate changed.
-func (b *backend) fadeAverage(now time.Time) bool {
-	if b.basis != Averages || now.Sub(b.heard) < sweepInterval {
+func (b *backend) decayAverage(now time.Time) bool {
+	if b.basis != FromAverages || now.Sub(b.reportedAt) < sweepInterval {
 		return false
 	}
 	old := b.average
-	b.average = max(b.known(), b.average*math.Exp(-sweepInterval.Seconds()/averageSpan.Seconds()))
-	if b.average < leastAverage {
+	b.average = max(b.counted(), b.average*math.Exp(-sweepInterval.Seconds()/averageWindow.Seconds()))
+	if b.average < minAverage {
 		b.average = 0
 	}
 	return b.average != old
 }
 
-// beyond returns the part of a reported load that the counts do not explain.
-func (b *backend) beyond(reported float64) float64 {
-	if b.basis == Reports {
-		return reported - b.known()
+// unseenIn returns the part of a reported load that the counts do not explain.
+func (b *backend) unseenIn(reported float64) float64 {
+	if b.basis == FromReports {
+		return reported - b.counted()
 	}
 	return max(0, reported-b.peak.max())
 }
 
-// newer reports whether a report supersedes the last one of the backend server.
-func newer(r membership.Report, b *backend, now time.Time) bool {
+// supersedes reports whether a report supersedes the last one of the backend server.
+func supersedes(r membership.Report, b *backend, now time.Time) bool {
 	if r.Incarnation != b.report.Incarnation {
 		return r.Incarnation > b.report.Incarnation
 	}
-	return r.At.After(b.report.At) || now.Sub(b.heard) >= clockStep
+	return r.At.After(b.report.At) || now.Sub(b.reportedAt) >= clockResetAfter
 }
 
 // Tick ages silent peers and old reports. It returns the backend servers whose estimate changed.
@@ -364,42 +367,42 @@
 	t.nextSweep = now.Add(sweepInterval)
 	t.changed = t.changed[:0]
 	for name, p := range t.peers {
-		if weight := fade(now.Sub(p.heard)); weight != p.weight {
-			t.weigh(p, weight, now)
+		if weight := peerWeight(now.Sub(p.receivedAt)); weight != p.weight {
+			t.setWeight(p, weight, now)
 		}
 		if p.weight == 0 {
 			delete(t.peers, name)
 		}
 	}
 	for name, b := range t.backends {
-		if b.fadeAverage(now) {
+		if b.decayAverage(now) {
 			t.changed = append(t.changed, name)
 		}
-		if !b.heard.IsZero() && now.Sub(b.heard) > reportLife && b.unseen != 0 {
+		if !b.reportedAt.IsZero() && now.Sub(b.reportedAt) > reportTTL && b.unseen != 0 {
 			b.unseen = 0
 			t.changed = append(t.changed, name)
 		}
-		if now.Sub(b.heard) > 2*reportLife {
-			b.heard = time.Time{}
+		if now.Sub(b.reportedAt) > 2*reportTTL {
+			b.reportedAt = time.Time{}
 		}
-		if b.idle() {
+		if b.unused() {
 			delete(t.backends, name)
 		}
 	}
-	return t.sorted()
+	return t.sortedChanges()
 }
 
-// fade returns the weight of a peer's counts after a time without digests.
-func fade(silence time.Duration) float64 {
-	if silence <= peerSilent {
+// peerWeight returns the weight of a peer's counts after a time without digests.
+func peerWeight(silence time.Duration) float64 {
+	if silence <= peerSilentAfter {
 		return 1
 	}
-	step := 1 + fadeSteps*(silence-peerSilent)/peerFading
+	step := 1 + fadeSteps*(silence-peerSilentAfter)/peerFadeTime
 	return max(0, float64(fadeSteps-step)/fadeSteps)
 }
 
-// sorted sorts t.changed, removes duplicates and returns it.
-func (t *Tracker) sorted() []string {
+// sortedChanges sorts t.changed, removes duplicates and returns it.
+func (t *Tracker) sortedChanges() []string {
 	slices.Sort(t.changed)
 	t.changed = slices.Compact(t.changed)
 	return t.changed
@@ -407,19 +410,19 @@
 
 // peak tracks the highest value of the last one to two report windows.
 type peak struct {
-	since    time.Time
-	now, old float64
+	since             time.Time
+	current, previous float64
 }
 
 func (p *peak) add(v float64, now time.Time) {
 	switch age := now.Sub(p.since); {
 	case age >= 2*reportWindow:
-		p.since, p.now, p.old = now, v, v
+		p.since, p.current, p.previous = now, v, v
 	case age >= reportWindow:
-		p.since, p.now, p.old = now, v, p.now
+		p.since, p.current, p.previous = now, v, p.current
 	default:
-		p.now = max(p.now, v)
+		p.current = max(p.current, v)
 	}
 }
 
-func (p *peak) max() float64 { return max(p.now, p.old) }
+func (p *peak) max() float64 { return max(p.current, p.previous) }
--- a/internal/core/load/load_test.go
+++ b/internal/core/load/load_test.go
@@ -24,7 +24,7 @@
 
 // digest applies a full digest of the only peer, p.
 func digest(t *load.Tracker, inFlight int, at time.Time) {
-	t.Digest("p", at, true, []load.Count{{Backend: "b", InFlight: inFlight}}, at)
+	t.ApplyDigest("p", at, true, []load.Count{{Backend: "b", InFlight: inFlight}}, at)
 }
 
 // All instances exchange digests. A report that is 2 s old must not be added to the counts, or
@@ -38,7 +38,7 @@
 	for range 3 {
 		tr.Ended("b", after(2*time.Second))
 	}
-	tr.Report(report(12, start), load.Counts, after(2*time.Second+time.Millisecond))
+	tr.ApplyReport(report(12, start), load.FromCounts, after(2*time.Second+time.Millisecond))
 	require.InDelta(t, 9, tr.Estimate("b"), 0)
 }
 
@@ -49,7 +49,7 @@
 	for range 5 {
 		tr.Sent("b", start)
 	}
-	require.True(t, tr.Report(report(40, start), load.Counts, after(2*time.Second)))
+	require.True(t, tr.ApplyReport(report(40, start), load.FromCounts, after(2*time.Second)))
 	require.InDelta(t, 40, tr.Estimate("b"), 0)
 	tr.Sent("b", after(3*time.Second))
 	require.InDelta(t, 41, tr.Estimate("b"), 0)
@@ -65,7 +65,7 @@
 	tr := load.NewTracker()
 	digest(tr, 7, after(time.Second))
 	digest(tr, 2, after(2*time.Second))
-	require.True(t, tr.Report(report(11, after(2*time.Second)), load.Reports, after(2*time.Second)))
+	require.True(t, tr.ApplyReport(report(11, after(2*time.Second)), load.FromReports, after(2*time.Second)))
 	require.InDelta(t, 11, tr.Estimate("b"), 0)
 	for range 3 {
 		digest(tr, 5, after(2*time.Second))
@@ -73,7 +73,7 @@
 	}
 	require.InDelta(t, 11, tr.Estimate("b"), 0)
 
-	require.True(t, tr.Report(report(0, after(3*time.Second)), load.Reports, after(3*time.Second)), "the digest is older")
+	require.True(t, tr.ApplyReport(report(0, after(3*time.Second)), load.FromReports, after(3*time.Second)), "the digest is older")
 	require.Zero(t, tr.Estimate("b"))
 	digest(tr, 0, after(4*time.Second))
 	require.Zero(t, tr.Estimate("b"), "never below zero")
@@ -83,15 +83,15 @@
 // that has since been replaced. Only newer reports count.
 func TestOldReportsAreDropped(t *testing.T) {
 	tr := load.NewTracker()
-	require.True(t, tr.Report(report(10, after(time.Second)), load.Counts, after(time.Second)))
-	require.False(t, tr.Report(report(99, after(time.Second)), load.Counts, after(2*time.Second)), "twice")
-	require.False(t, tr.Report(report(99, start), load.Counts, after(2*time.Second)), "late")
+	require.True(t, tr.ApplyReport(report(10, after(time.Second)), load.FromCounts, after(time.Second)))
+	require.False(t, tr.ApplyReport(report(99, after(time.Second)), load.FromCounts, after(2*time.Second)), "twice")
+	require.False(t, tr.ApplyReport(report(99, start), load.FromCounts, after(2*time.Second)), "late")
 	next := membership.Report{Backend: "b", Incarnation: 2, InFlight: 3, At: start}
-	require.True(t, tr.Report(next, load.Counts, after(3*time.Second)), "a new incarnation may have another clock")
-	require.False(t, tr.Report(report(99, after(4*time.Second)), load.Counts, after(4*time.Second)), "the old incarnation")
+	require.True(t, tr.ApplyReport(next, load.FromCounts, after(3*time.Second)), "a new incarnation may have another clock")
+	require.False(t, tr.ApplyReport(report(99, after(4*time.Second)), load.FromCounts, after(4*time.Second)), "the old incarnation")
 	require.InDelta(t, 3, tr.Estimate("b"), 0)
 	next.InFlight, next.At = 4, start.Add(-time.Hour)
-	require.True(t, tr.Report(next, load.Counts, after(30*time.Second)), "a clock that was set back is accepted after a time without reports")
+	require.True(t, tr.ApplyReport(next, load.FromCounts, after(30*time.Second)), "a clock that was set back is accepted after a time without reports")
 }
 
 // A peer that sends no digests has crashed or lost its link. Its requests end one after another,
@@ -138,7 +138,7 @@
 				at := now.Add(-time.Duration(rapid.IntRange(0, 500).Draw(t, "late")) * time.Millisecond)
 				full := rapid.Bool().Draw(t, "full")
 				count := rapid.IntRange(-1, 9).Draw(t, "count")
-				tr.Digest(peer, at, full, []load.Count{{Backend: name, InFlight: count}}, now)
+				tr.ApplyDigest(peer, at, full, []load.Count{{Backend: name, InFlight: count}}, now)
 				old, ok := newest[peer]
 				if ok && at.Before(old.at) {
 					continue
@@ -174,7 +174,7 @@
 					counts[k] = load.Count{Backend: names[k], InFlight: (i + k) % 3}
 				}
 				now := after(time.Duration(i) * time.Millisecond)
-				tr.Digest("p", now, false, counts, now)
+				tr.ApplyDigest("p", now, false, counts, now)
 			}
 		})
 	}
@@ -196,11 +196,11 @@
 	tracker := load.NewTracker()
 	now := time.Unix(1_800_000_000, 0)
 	tracker.Sent("engine", now)
-	tracker.Report(membership.Report{Backend: "engine", InFlight: 2, At: now.Add(20 * time.Millisecond)}, load.Counts, now.Add(20*time.Millisecond))
+	tracker.ApplyReport(membership.Report{Backend: "engine", InFlight: 2, At: now.Add(20 * time.Millisecond)}, load.FromCounts, now.Add(20*time.Millisecond))
 	require.InDelta(t, 2, tracker.Estimate("engine"), 0)
-	tracker.Digest("entry-2", now.Add(500*time.Millisecond), true, []load.Count{{Backend: "engine", InFlight: 1}}, now.Add(500*time.Millisecond))
+	tracker.ApplyDigest("entry-2", now.Add(500*time.Millisecond), true, []load.Count{{Backend: "engine", InFlight: 1}}, now.Add(500*time.Millisecond))
 	require.InDelta(t, 2, tracker.Estimate("engine"), 0)
-	tracker.Digest("entry-2", now.Add(time.Second), false, []load.Count{{Backend: "engine", InFlight: 0}}, now.Add(time.Second))
+	tracker.ApplyDigest("entry-2", now.Add(time.Second), false, []load.Count{{Backend: "engine", InFlight: 0}}, now.Add(time.Second))
 	tracker.Ended("engine", now.Add(time.Second))
 	require.Zero(t, tracker.Estimate("engine"))
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -13,131 +13,132 @@
 const (
 	// listInterval is the interval of the instances that follow the store.
 	listInterval = 2 * time.Second
-	// listSlowInterval is the mean interval of the other instances. They receive changes from
+	// listVerifyInterval is the mean interval of the other instances. They receive changes from
 	// peers and read the list only to verify them. Each draws its interval at random from half
 	// to one and a half of this value.
-	listSlowInterval = 15 * time.Second
-	// listMaxDelay is the maximum backoff delay after failed reads.
-	listMaxDelay = 8 * time.Second
-	// peerSilence is the time after the last message from a peer within which the peer counts
-	// as reachable.
-	peerSilence = 5 * time.Second
-	// heardKeep is how long the time of a peer's last message is kept.
-	heardKeep = time.Hour
-	// expireInterval is the interval between checks for expired tombstones in the membership
-	// view.
-	expireInterval = time.Minute
+	listVerifyInterval = 15 * time.Second
+	// listMaxBackoff is the maximum backoff delay after failed reads.
+	listMaxBackoff = 8 * time.Second
+	// peerContactTimeout is the time after the last message from a peer within which the peer
+	// counts as reachable.
+	peerContactTimeout = 5 * time.Second
+	// peerContactRetention is how long the time of a peer's last message is kept.
+	peerContactRetention = time.Hour
+	// tombstoneExpiryInterval is the interval between checks for expired tombstones in the
+	// membership view.
+	tombstoneExpiryInterval = time.Minute
 )
 
 // memberState schedules the reads of the platform's instance list and caches data derived from
 // the membership view.
 type memberState struct {
-	// list identifies the request in progress, 0 if there is none.
-	list OpID
-	// read is the time of the last success.
-	read time.Time
-	// slow is the interval before the next request if this instance does not follow the store.
-	slow time.Duration
+	// listOp identifies the request in progress, 0 if there is none.
+	listOp OpID
+	// readAt is the time of the last success.
+	readAt time.Time
+	// verifyInterval is the interval before the next request if this instance does not follow
+	// the store.
+	verifyInterval time.Duration
 	// failures counts consecutive failed reads. The next attempt is due at retryAt.
 	failures int
 	retryAt  time.Time
 	// expireAt is the time of the next check for expired tombstones.
 	expireAt time.Time
-	// heard maps each peer to the time of its last message.
-	heard map[string]time.Time
-	// entries caches the sorted names of the live instances. It is nil after a change.
-	entries []string
-	// lastHeard is the time of the last message from any peer.
-	lastHeard time.Time
+	// peerContactAt maps each peer to the time of its last message.
+	peerContactAt map[string]time.Time
+	// instanceNames caches the sorted names of the live instances. It is nil after a change.
+	instanceNames []string
+	// lastPeerContactAt is the time of the last message from any peer.
+	lastPeerContactAt time.Time
 }
 
 func (n *Node) tickMembers() {
-	n.tickList()
+	n.tickInstanceList()
 	if n.snapshot != nil {
-		n.refreshPools(n.view.Stepped(n.now))
+		n.refreshPools(n.view.ChangedShares(n.now))
 	}
 	if !n.now.Before(n.members.expireAt) {
-		n.members.expireAt = n.now.Add(expireInterval)
+		n.members.expireAt = n.now.Add(tombstoneExpiryInterval)
 		n.view.Expire(n.now)
-		maps.DeleteFunc(n.members.heard, func(_ string, at time.Time) bool {
-			return n.now.Sub(at) > heardKeep
+		maps.DeleteFunc(n.members.peerContactAt, func(_ string, at time.Time) bool {
+			return n.now.Sub(at) > peerContactRetention
 		})
 	}
 }
 
-func (n *Node) tickList() {
+func (n *Node) tickInstanceList() {
 	s := &n.members
-	if s.list != 0 || n.now.Before(n.listDue()) {
+	if s.listOp != 0 || n.now.Before(n.nextListRead()) {
 		return
 	}
-	s.list = n.nextOp()
-	n.emit(ListInstances{Op: s.list})
+	s.listOp = n.nextOp()
+	n.emit(ListInstances{Op: s.listOp})
 }
 
-// listDue returns the time of the next read of the instance list. It is computed on every tick,
-// so that an instance that loses contact with the followers need not wait for the end of its
-// long interval.
-func (n *Node) listDue() time.Time {
+// nextListRead returns the time of the next read of the instance list. It is computed on every
+// tick, so that an instance that loses contact with the followers need not wait for the end of
+// its long interval.
+func (n *Node) nextListRead() time.Time {
 	s := &n.members
 	switch {
 	case s.failures > 0:
 		return s.retryAt
-	case n.joining() && !s.read.IsZero():
-		return n.startedAt.Add(joinSettle)
-	case n.readsList():
-		return s.read.Add(listInterval)
+	case n.joining() && !s.readAt.IsZero():
+		return n.startedAt.Add(joinSettleTime)
+	case n.readsListOften():
+		return s.readAt.Add(listInterval)
 	default:
-		return s.read.Add(s.slow)
+		return s.readAt.Add(s.verifyInterval)
 	}
 }
 
-// readsList reports whether this instance reads the list at the short interval: either it is
+// readsListOften reports whether this instance reads the list at the short interval: either it is
 // one of the followers of the store, or it receives no messages from peers and would miss the
 // changes that they learn of.
-func (n *Node) readsList() bool {
-	n.entries()
-	return n.follow.rank < n.follow.wanted || n.hearsNobody()
+func (n *Node) readsListOften() bool {
+	n.liveInstances()
+	return n.follow.rank < n.follow.wanted || n.isolated()
 }
 
-// asked reports whether at least one read of the list has completed, successfully or not.
-func (s *memberState) asked() bool { return !s.read.IsZero() || s.failures > 0 }
+// readAttempted reports whether at least one read of the list has completed, successfully or not.
+func (s *memberState) readAttempted() bool { return !s.readAt.IsZero() || s.failures > 0 }
 
 func (n *Node) instancesListed(e InstancesListed) {
 	s := &n.members
-	if e.Op != s.list {
+	if e.Op != s.listOp {
 		return
 	}
-	s.list = 0
+	s.listOp = 0
 	if e.Failed {
 		s.failures++
-		s.retryAt = n.now.Add(n.backOff(listInterval, listMaxDelay, s.failures))
+		s.retryAt = n.now.Add(n.backoffDelay(listInterval, listMaxBackoff, s.failures))
 		return
 	}
 	joining := n.joining()
 	s.failures = 0
-	s.read = n.now
-	n.findOwnEntry(e)
-	s.slow = n.spread(listSlowInterval)
-	n.membersChanged(n.view.Listed(n.now, e.Members))
+	s.readAt = n.now
+	n.adoptOwnEntry(e)
+	s.verifyInterval = n.spreadDelay(listVerifyInterval)
+	n.membersChanged(n.view.ApplyList(n.now, e.Members))
 	if joining {
-		n.tellNobodyOf(n.view.Seq())
+		n.skipChangesUpTo(n.view.Seq())
 	}
 }
 
-// spread returns a random duration from half to one and a half of d, so that instances that
+// spreadDelay returns a random duration from half to one and a half of d, so that instances that
 // started at the same time do not stay synchronized.
-func (n *Node) spread(d time.Duration) time.Duration {
+func (n *Node) spreadDelay(d time.Duration) time.Duration {
 	return d/2 + time.Duration(n.random.Int64N(int64(d)))
 }
 
-// backOff returns the randomized delay after the given number of consecutive failures. The mean
-// doubles with each failure, from first up to limit.
-func (n *Node) backOff(first, limit time.Duration, failures int) time.Duration {
+// backoffDelay returns the randomized delay after the given number of consecutive failures. The
+// mean doubles with each failure, from first up to limit.
+func (n *Node) backoffDelay(first, limit time.Duration, failures int) time.Duration {
 	delay := limit
 	if failures < 16 {
 		delay = min(limit, first<<max(0, failures-1))
 	}
-	return min(limit, n.spread(delay))
+	return min(limit, n.spreadDelay(delay))
 }
 
 // backendReported handles a backend server's response to a report poll.
@@ -145,41 +146,41 @@
 	if e.Failed {
 		return
 	}
-	if n.view.Report(n.now, e.Report, true) {
+	if n.view.ApplyReport(n.now, e.Report, true) {
 		n.membersChanged([]string{e.Report.Backend})
 	}
-	n.loadReported(e.Report)
+	n.applyLoadReport(e.Report)
 }
 
-// backendSaid applies the report in a backend server's response or refusal. A server that
+// applyBackendReport applies the report in a backend server's response or refusal. A server that
 // refuses a request because it is draining gets no further requests, even while the platform's
 // list still shows it as live or the platform is unreachable.
-func (n *Node) backendSaid(report membership.Report) {
-	if n.view.Report(n.now, report, false) {
+func (n *Node) applyBackendReport(report membership.Report) {
+	if n.view.ApplyReport(n.now, report, false) {
 		n.membersChanged([]string{report.Backend})
 	}
-	n.loadReported(report)
+	n.applyLoadReport(report)
 }
 
-// peerHeard records the time of a message from a peer.
-func (n *Node) peerHeard(peer string) {
-	n.members.heard[peer] = n.now
-	n.members.lastHeard = n.now
+// recordPeerContact records the time of a message from a peer.
+func (n *Node) recordPeerContact(peer string) {
+	n.members.peerContactAt[peer] = n.now
+	n.members.lastPeerContactAt = n.now
 }
 
-// learn merges a fact from any source into the membership view.
-func (n *Node) learn(f membership.Fact) {
-	if n.view.Learn(n.now, f) {
+// mergeFact merges a fact from any source into the membership view.
+func (n *Node) mergeFact(f membership.Fact) {
+	if n.view.ApplyFact(n.now, f) {
 		n.membersChanged([]string{f.Name})
 	}
 }
 
-// learnMembers merges membership records received from a peer. They can add instances that this
+// mergeMembers merges membership records received from a peer. They can add instances that this
 // instance has not seen in the platform's list, but never remove any.
-func (n *Node) learnMembers(list []membership.Instance) {
+func (n *Node) mergeMembers(list []membership.Member) {
 	var changed []string
 	for _, in := range list {
-		if n.view.Introduce(n.now, in) {
+		if n.view.MergeFromPeer(n.now, in) {
 			changed = append(changed, in.Name)
 		}
 	}
@@ -192,10 +193,10 @@
 	if len(names) == 0 {
 		return
 	}
-	n.learnedMembers(names)
+	n.logMemberStates(names)
 	for _, name := range names {
-		if in := n.view.Get(name); in == nil || in.Role == membership.Entry {
-			n.members.entries = nil
+		if in := n.view.Get(name); in == nil || in.Role == membership.RoleInstance {
+			n.members.instanceNames = nil
 		}
 	}
 	if n.snapshot != nil {
@@ -207,7 +208,7 @@
 func (n *Node) refreshPools(names []string) {
 	var services []string
 	for _, name := range names {
-		service := n.snapshot.ServiceOf(name)
+		service := n.snapshot.ServiceOfBackend(name)
 		if in := n.view.Get(name); service == "" && in != nil {
 			service = in.Service
 		}
@@ -218,31 +219,31 @@
 	slices.Sort(services)
 	for _, service := range slices.Compact(services) {
 		for _, c := range n.pool(service).candidates {
-			delete(n.poolOf, c.Name)
+			delete(n.poolByBackend, c.Name)
 		}
 		n.rebuildPool(service)
 	}
 }
 
-// entries returns the sorted names of the live instances, including this one. The owners of
+// liveInstances returns the sorted names of the live instances, including this one. The owners of
 // claim ranges, report polls and store watches are ranked over this list. The caller must not
 // modify it.
-func (n *Node) entries() []string {
+func (n *Node) liveInstances() []string {
 	s := &n.members
-	if s.entries != nil {
-		return s.entries
+	if s.instanceNames != nil {
+		return s.instanceNames
 	}
 	names := []string{n.settings.Name}
 	live := []mesh.Member{{Name: n.settings.Name, Zone: n.settings.Zone}}
-	n.view.Each(func(in *membership.Instance) {
-		if in.Role != membership.Entry || in.State != membership.Live || in.Name == n.settings.Name {
+	n.view.Each(func(in *membership.Member) {
+		if in.Role != membership.RoleInstance || in.State != membership.Live || in.Name == n.settings.Name {
 			return
 		}
 		names = append(names, in.Name)
 		live = append(live, mesh.Member{Name: in.Name, Zone: in.Zone})
 	})
 	slices.Sort(names)
-	s.entries = names
+	s.instanceNames = names
 	n.rankFollowers(live)
 	n.resizeBudgets()
 	return names
--- a/internal/core/members_test.go
+++ b/internal/core/members_test.go
@@ -15,18 +15,18 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// solo drives a single node with events in virtual time.
-type solo struct {
+// nodeHarness drives a single node with events in virtual time.
+type nodeHarness struct {
 	t    *testing.T
 	node *core.Node
 	now  time.Time
 	// list is the platform's instance list; nil while the platform is unreachable.
-	list  []membership.Instance
+	list  []membership.Member
 	reads int
 	ids   int
 }
 
-const memberText = `{
+const memberConfigText = `{
   "services": [
     {"name": "underwriting", "kind": "model", "from_platform": true},
     {"name": "portal", "kind": "plain", "backend_servers": [
@@ -36,15 +36,15 @@
   "customers": [{"name": "branch"}],
 }`
 
-func newSolo(t *testing.T, list []membership.Instance) *solo {
-	s := &solo{t: t, node: core.New(core.Settings{Name: "entry-0", Zone: "z", Seed: 1}), now: epoch, list: list}
-	s.handle(core.ConfigOffered{Envelope: config.Envelope{Generation: 1, Text: memberText}})
-	s.pass(core.TickInterval)
+func newNodeHarness(t *testing.T, list []membership.Member) *nodeHarness {
+	s := &nodeHarness{t: t, node: core.New(core.Settings{Name: "entry-0", Zone: "z", Seed: 1}), now: epoch, list: list}
+	s.handle(core.ConfigOffered{Envelope: config.Envelope{Generation: 1, Text: memberConfigText}})
+	s.advance(core.TickInterval)
 	return s
 }
 
 // handle sends an event to the node and answers its reads of the instance list.
-func (s *solo) handle(event core.Event) []core.Effect {
+func (s *nodeHarness) handle(event core.Event) []core.Effect {
 	effects := append([]core.Effect(nil), s.node.Handle(s.now, event)...)
 	for _, effect := range effects {
 		if e, ok := effect.(core.ListInstances); ok {
@@ -55,7 +55,7 @@
 	return effects
 }
 
-func (s *solo) pass(d time.Duration) {
+func (s *nodeHarness) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(core.TickInterval)
 		s.handle(core.Ticked{})
@@ -63,7 +63,7 @@
 }
 
 // send starts a request and returns the backend server of its first attempt.
-func (s *solo) send(service string) (core.RequestID, string) {
+func (s *nodeHarness) send(service string) (core.RequestID, string) {
 	s.ids++
 	id := core.RequestID(fmt.Sprintf("r%d", s.ids))
 	arrived := core.RequestArrived{Request: id, Customer: "branch", Service: service, Chat: string(id)}
@@ -75,8 +75,8 @@
 	return id, ""
 }
 
-// spread sends many requests and counts them by backend server.
-func (s *solo) spread(service string) map[string]int {
+// countByBackend sends many requests and counts them by backend server.
+func (s *nodeHarness) countByBackend(service string) map[string]int {
 	counts := make(map[string]int)
 	for range 60 {
 		id, backend := s.send(service)
@@ -86,11 +86,11 @@
 	return counts
 }
 
-func liveEngines(n int) []membership.Instance {
-	var list []membership.Instance
+func liveEngines(n int) []membership.Member {
+	var list []membership.Member
 	for i := range n {
-		list = append(list, membership.Instance{
-			Name: fmt.Sprintf("engine-%d", i), Role: membership.Backend, Service: "underwriting", Zone: "z",
+		list = append(list, membership.Member{
+			Name: fmt.Sprintf("engine-%d", i), Role: membership.RoleBackend, Service: "underwriting", Zone: "z",
 			Address: "127.0.0.1:1", Incarnation: 1, State: membership.Live,
 		})
 	}
@@ -100,9 +100,9 @@
 // An engine reports in a refusal that it is draining, while the platform's list still shows it
 // as live. The platform then becomes unreachable and returns with the old list. Requests sent
 // to the engine meanwhile would be lost.
-func TestALeavingServerGetsNoWorkThoughTheListLags(t *testing.T) {
-	s := newSolo(t, liveEngines(3))
-	require.Contains(t, s.spread("underwriting"), "engine-1")
+func TestDrainingServerGetsNoRequestsWhileListIsStale(t *testing.T) {
+	s := newNodeHarness(t, liveEngines(3))
+	require.Contains(t, s.countByBackend("underwriting"), "engine-1")
 
 	id, backend := s.send("underwriting")
 	s.handle(core.AttemptEnded{
@@ -111,45 +111,45 @@
 	})
 	s.handle(core.AttemptEnded{Request: id, Attempt: 2, Outcome: retry.Answered})
 	requireUnused := func(when string) {
-		require.NotContains(t, s.spread("underwriting"), backend, when)
+		require.NotContains(t, s.countByBackend("underwriting"), backend, when)
 	}
 	requireUnused("at once")
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	requireUnused("the list still shows it as live")
 	s.list = nil
-	s.pass(10 * time.Minute)
+	s.advance(10 * time.Minute)
 	requireUnused("platform unreachable for ten minutes")
-	require.Len(t, s.spread("underwriting"), 2, "the other engines still serve during the outage")
+	require.Len(t, s.countByBackend("underwriting"), 2, "the other engines still serve during the outage")
 	s.list = liveEngines(3)
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	requireUnused("the platform returned with the old list")
 	s.handle(core.BackendReported{Report: membership.Report{Backend: backend, Incarnation: 1, State: membership.Live}})
 	requireUnused("a late report of the same incarnation")
 	for i := range s.list {
 		s.list[i].Incarnation = 2
 	}
-	s.pass(10 * time.Second)
-	require.Contains(t, s.spread("underwriting"), backend, "a new incarnation gets requests")
+	s.advance(10 * time.Second)
+	require.Contains(t, s.countByBackend("underwriting"), backend, "a new incarnation gets requests")
 }
 
 // A backend server that is named only in the operators' configuration starts to drain. Its
 // state is in no list, so requests would be sent to it until the operators edit the text.
-func TestALeavingFixedServerGetsNoWork(t *testing.T) {
-	s := newSolo(t, liveEngines(1))
-	require.Len(t, s.spread("portal"), 2)
+func TestDrainingConfiguredServerGetsNoRequests(t *testing.T) {
+	s := newNodeHarness(t, liveEngines(1))
+	require.Len(t, s.countByBackend("portal"), 2)
 	report := membership.Report{Backend: "portal-a", State: membership.Leaving, At: s.now}
 	s.handle(core.BackendReported{Report: report})
-	require.Equal(t, map[string]int{"portal-b": 60}, s.spread("portal"))
+	require.Equal(t, map[string]int{"portal-b": 60}, s.countByBackend("portal"))
 	report.State, report.At = membership.Live, s.now.Add(time.Minute)
 	s.handle(core.BackendReported{Report: report})
-	require.Len(t, s.spread("portal"), 2)
+	require.Len(t, s.countByBackend("portal"), 2)
 }
 
 // An engine that restarts every minute would get its full share of requests after each start
 // and lose them again. Its share must rise in steps, but it must serve without that limit when
 // it is the only engine.
-func TestAFlappingServerComesBackBySteps(t *testing.T) {
-	s := newSolo(t, liveEngines(4))
+func TestFlappingServerShareRisesInSteps(t *testing.T) {
+	s := newNodeHarness(t, liveEngines(4))
 	sendConcurrently := func() map[string]int {
 		counts := make(map[string]int)
 		var ids []core.RequestID
@@ -166,10 +166,10 @@
 	restart := func() {
 		s.list[0].Incarnation++
 		s.list[0].State = membership.Gone
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		s.list[0].Incarnation++
 		s.list[0].State = membership.Live
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 	}
 	restart()
 	require.Greater(t, sendConcurrently()["engine-0"], 15, "one restart")
@@ -177,7 +177,7 @@
 	var got []int
 	for range 3 {
 		got = append(got, sendConcurrently()["engine-0"])
-		s.pass(10 * time.Second)
+		s.advance(10 * time.Second)
 	}
 	t.Logf("of 80 requests in progress at four engines, the flapping one got %v", got)
 	require.Less(t, got[0], 15)
@@ -186,7 +186,7 @@
 
 	restart()
 	s.list = s.list[:1]
-	s.pass(2 * time.Minute)
+	s.advance(2 * time.Minute)
 	restart()
 	require.Greater(t, sendConcurrently()["engine-0"], 50, "the only engine serves up to its limits")
 }
@@ -198,15 +198,15 @@
 	const instances = 58
 	list := liveEngines(3)
 	for i := range instances {
-		list = append(list, membership.Instance{
-			Name: fmt.Sprintf("entry-%d", i), Role: membership.Entry, Zone: "z",
+		list = append(list, membership.Member{
+			Name: fmt.Sprintf("entry-%d", i), Role: membership.RoleInstance, Zone: "z",
 			Address: "127.0.0.1:1", Incarnation: 1, State: membership.Live,
 		})
 	}
 	reads := func(name string, peersReachable bool) int {
-		s := &solo{t: t, node: core.New(core.Settings{Name: name, Zone: "z", Seed: 1}), now: epoch, list: list}
+		s := &nodeHarness{t: t, node: core.New(core.Settings{Name: name, Zone: "z", Seed: 1}), now: epoch, list: list}
 		for range 60 {
-			s.pass(time.Second)
+			s.advance(time.Second)
 			for i := 0; peersReachable && i < instances; i++ {
 				s.handle(core.PeerReceived{From: fmt.Sprintf("entry-%d", i)})
 			}
--- a/internal/core/membership/listed.go
+++ b/internal/core/membership/listed.go
@@ -5,25 +5,27 @@
 // These constants define when a member that is missing from the platform's list counts as
 // gone. The list lags, and it may be incomplete after an outage of the platform.
 const (
-	// absentLists is the number of consecutive lists from which the member must be missing.
-	absentLists = 5
+	// absentAfterLists is the number of consecutive lists from which the member must be missing.
+	absentAfterLists = 5
 	// absentAfter is the minimum time since the member was last in a list.
 	absentAfter = 10 * time.Second
-	// suspectAfter replaces absentAfter while more than half of the live members are missing
-	// from a list: an incomplete list is then more likely than the loss of so many members.
-	suspectAfter = time.Minute
-	// suspectFrom is the minimum number of live members at which suspectAfter can apply.
-	suspectFrom = 4
+	// incompleteAbsentAfter replaces absentAfter while more than half of the live members are
+	// missing from a list: an incomplete list is then more likely than the loss of so many
+	// members.
+	incompleteAbsentAfter = time.Minute
+	// incompleteMinLive is the minimum number of live members at which incompleteAbsentAfter can
+	// apply.
+	incompleteMinLive = 4
 )
 
-// Listed applies a complete list of the platform and returns the names of the members that
+// ApplyList applies a complete list of the platform and returns the names of the members that
 // changed. The caller passes only lists that were read successfully, so the view does not
 // change while the platform is unreachable. An empty list is treated as a failed read.
 //
 // Absence is inferred by this instance from its own reads. It is never sent to peers, and a
 // later list that contains the member undoes it. If this happens often, the member's share of
 // the load is ramped up in steps.
-func (v *View) Listed(now time.Time, list []Instance) []string {
+func (v *View) ApplyList(now time.Time, list []Member) []string {
 	if len(list) == 0 {
 		return nil
 	}
@@ -32,64 +34,64 @@
 	for _, m := range list {
 		listed[m.Name] = true
 		merged := v.Merge(now, m)
-		if v.show(now, m.Name) || merged {
+		if v.markPresent(now, m.Name) || merged {
 			changed = append(changed, m.Name)
 		}
 	}
 	after := absentAfter
-	if v.suspect(listed) {
-		after = suspectAfter
+	if v.looksIncomplete(listed) {
+		after = incompleteAbsentAfter
 	}
 	for name, r := range v.records {
-		if !listed[name] && r.miss(now, after) {
-			v.changed(r)
+		if !listed[name] && r.recordMissing(now, after) {
+			v.logChange(r)
 			changed = append(changed, name)
 		}
 	}
 	return changed
 }
 
-// show records that a list or an entry contains the member, undoes its absence, and reports
+// markPresent records that a list or an entry contains the member, undoes its absence, and reports
 // whether that changed the view.
-func (v *View) show(now time.Time, name string) bool {
+func (v *View) markPresent(now time.Time, name string) bool {
 	r := v.records[name]
-	r.present, r.missed, r.listed = now, 0, true
+	r.presentAt, r.missedLists, r.listed = now, 0, true
 	if !r.absent {
 		return false
 	}
 	r.absent = false
-	m := r.in
-	m.State = r.said
-	return v.set(now, r, m)
+	m := r.member
+	m.State = r.reported
+	return v.update(now, r, m)
 }
 
-// inList reports whether the member is expected in the platform's list, so that its absence
-// from a list is meaningful. Backend servers that only the operators' configuration names, or
-// that have an entry of their own in the store, are in no list.
-func (r *record) inList() bool {
-	return r.in.Role == Entry || r.in.Role == Backend && r.listed && !r.registered
+// expectedInLists reports whether the member is expected in the platform's list, so that its
+// absence from a list is meaningful. Backend servers that only the operators' configuration names,
+// or that have an entry of their own in the store, are in no list.
+func (r *record) expectedInLists() bool {
+	return r.member.Role == RoleInstance || r.member.Role == RoleBackend && r.listed && !r.registered
 }
 
-// miss records that a list lacks the member, and reports whether the member counts as gone
+// recordMissing records that a list lacks the member, and reports whether the member counts as gone
 // from now on.
-func (r *record) miss(now time.Time, after time.Duration) bool {
-	if !r.inList() || r.absent || r.in.State == Gone {
+func (r *record) recordMissing(now time.Time, after time.Duration) bool {
+	if !r.expectedInLists() || r.absent || r.member.State == Gone {
 		return false
 	}
-	r.missed++
-	if r.missed < absentLists || now.Sub(r.present) < after {
+	r.missedLists++
+	if r.missedLists < absentAfterLists || now.Sub(r.presentAt) < after {
 		return false
 	}
 	r.absent = true
-	r.in.State = Gone
+	r.member.State = Gone
 	return true
 }
 
-// suspect reports whether more than half of the live members are missing from a list.
-func (v *View) suspect(listed map[string]bool) bool {
+// looksIncomplete reports whether more than half of the live members are missing from a list.
+func (v *View) looksIncomplete(listed map[string]bool) bool {
 	live, missing := 0, 0
 	for name, r := range v.records {
-		if !r.inList() || r.in.State != Live {
+		if !r.expectedInLists() || r.member.State != Live {
 			continue
 		}
 		live++
@@ -97,5 +99,5 @@
 			missing++
 		}
 	}
-	return live >= suspectFrom && 2*missing > live
+	return live >= incompleteMinLive && 2*missing > live
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -38,14 +38,14 @@
 
 // The roles in the platform's list.
 const (
-	// Entry is an instance of the fleet.
-	Entry Role = "entry"
-	// Backend is a backend server.
-	Backend Role = "backend"
+	// RoleInstance is an instance of the fleet.
+	RoleInstance Role = "entry"
+	// RoleBackend is a backend server.
+	RoleBackend Role = "backend"
 )
 
-// Instance is one entry of the platform's list: an instance of the fleet or a backend server.
-type Instance struct {
+// Member is one entry of the platform's list: an instance of the fleet or a backend server.
+type Member struct {
 	Name string `json:"name"`
 	Role Role   `json:"role"`
 	// Service is the service of a backend server.
@@ -62,7 +62,7 @@
 }
 
 // Fact returns the name, incarnation and state of the entry.
-func (m Instance) Fact() Fact {
+func (m Member) Fact() Fact {
 	return Fact{Name: m.Name, Incarnation: m.Incarnation, State: m.State}
 }
 
--- a/internal/core/membership/returns.go
+++ b/internal/core/membership/returns.go
@@ -10,24 +10,24 @@
 	// flapWindow is the time for which a return is remembered. A single return within it counts
 	// as a restart, and the server gets its full load at once; more count as flapping.
 	flapWindow = 10 * time.Minute
-	// firstStep is the length of each ramp step after the second return. It doubles with each
-	// further return, up to maxStep.
-	firstStep = 10 * time.Second
-	maxStep   = 2 * time.Minute
+	// firstRampStep is the length of each ramp step after the second return. It doubles with each
+	// further return, up to maxRampStep.
+	firstRampStep = 10 * time.Second
+	maxRampStep   = 2 * time.Minute
 )
 
-// steps holds the successive shares of its normal load that a flapping backend server gets
+// rampShares holds the successive shares of its normal load that a flapping backend server gets
 // before it gets its full load.
-var steps = [...]float64{0.25, 0.5}
+var rampShares = [...]float64{0.25, 0.5}
 
-// returns counts how often a member became live again.
-type returns struct {
+// returnHistory counts how often a member became live again.
+type returnHistory struct {
 	count int
 	last  time.Time
 }
 
 // add counts a return. It starts a new count if the last return is older than flapWindow.
-func (r *returns) add(now time.Time) {
+func (r *returnHistory) add(now time.Time) {
 	if now.Sub(r.last) > flapWindow {
 		r.count = 0
 	}
@@ -36,24 +36,24 @@
 }
 
 // share returns the fraction of its normal load that the member may get now.
-func (r *returns) share(now time.Time) float64 {
+func (r *returnHistory) share(now time.Time) float64 {
 	if r.count < 2 {
 		return 1
 	}
-	length := maxStep
+	length := maxRampStep
 	if shift := r.count - 2; shift < 8 {
-		length = min(maxStep, firstStep<<shift)
+		length = min(maxRampStep, firstRampStep<<shift)
 	}
 	step := int(now.Sub(r.last) / length)
-	if step >= len(steps) {
+	if step >= len(rampShares) {
 		return 1
 	}
-	return steps[max(0, step)]
+	return rampShares[max(0, step)]
 }
 
-// Share returns the fraction of its normal load that a member may get, in (0, 1]. It is below 1
+// LoadShare returns the fraction of its normal load that a member may get, in (0, 1]. It is below 1
 // only while the load of a flapping member is ramped up.
-func (v *View) Share(name string, now time.Time) float64 {
+func (v *View) LoadShare(name string, now time.Time) float64 {
 	r := v.records[name]
 	if r == nil {
 		return 1
@@ -61,17 +61,18 @@
 	return r.returns.share(now)
 }
 
-// Stepped returns the names of the members whose share has changed since its last call, sorted.
-func (v *View) Stepped(now time.Time) []string {
+// ChangedShares returns the names of the members whose share has changed since its last call,
+// sorted.
+func (v *View) ChangedShares(now time.Time) []string {
 	var names []string
-	for name, old := range v.returning {
+	for name, old := range v.ramping {
 		share := v.records[name].returns.share(now)
 		if share != old {
 			names = append(names, name)
 		}
-		v.returning[name] = share
+		v.ramping[name] = share
 		if share == 1 {
-			delete(v.returning, name)
+			delete(v.ramping, name)
 		}
 	}
 	slices.Sort(names)
--- a/internal/core/membership/view_test.go
+++ b/internal/core/membership/view_test.go
@@ -17,9 +17,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func engine(name string, incarnation uint64, s membership.State) membership.Instance {
-	return membership.Instance{
-		Name: name, Role: membership.Backend, Service: "underwriting", Zone: "zone-1",
+func engine(name string, incarnation uint64, s membership.State) membership.Member {
+	return membership.Member{
+		Name: name, Role: membership.RoleBackend, Service: "underwriting", Zone: "zone-1",
 		Address: "127.0.0.1:1", Incarnation: incarnation, State: s,
 	}
 }
@@ -27,10 +27,10 @@
 // An engine that is shutting down must not get new requests. After the engine reports that it is
 // leaving, older entries from the platform's list and from peers may still report it live, in any
 // order and any number of times, because every source lags by a different time.
-func TestWithinAnIncarnationNothingThatLeftComesBack(t *testing.T) {
+func TestStateNeverRevertsWithinIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := membership.NewView()
-		want := make(map[string]membership.Instance)
+		want := make(map[string]membership.Member)
 		now := start
 		state := rapid.SampledFrom([]membership.State{membership.Live, membership.Leaving, membership.Gone})
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -41,16 +41,16 @@
 			case 0:
 				v.Merge(now, in)
 			case 1:
-				v.Listed(now, []membership.Instance{in})
+				v.ApplyList(now, []membership.Member{in})
 			case 2:
-				v.Learn(now, in.Fact())
+				v.ApplyFact(now, in.Fact())
 				if want[name].Name == "" && in.State == membership.Live {
 					continue
 				}
 			case 3:
-				v.Report(now, membership.Report{Backend: name, Incarnation: in.Incarnation, State: in.State}, i%2 == 0)
+				v.ApplyReport(now, membership.Report{Backend: name, Incarnation: in.Incarnation, State: in.State}, i%2 == 0)
 			}
-			want[name] = worse(want[name], in)
+			want[name] = preferred(want[name], in)
 			for name, in := range want {
 				got := v.Get(name)
 				require.NotNil(t, got)
@@ -63,8 +63,8 @@
 	})
 }
 
-// worse returns the entry that takes precedence in the view.
-func worse(a, b membership.Instance) membership.Instance {
+// preferred returns the entry that takes precedence in the view.
+func preferred(a, b membership.Member) membership.Member {
 	rank := map[membership.State]int{membership.Live: 1, membership.Leaving: 2, membership.Gone: 3}
 	if b.Incarnation > a.Incarnation || b.Incarnation == a.Incarnation && rank[b.State] > rank[a.State] {
 		return b
@@ -75,16 +75,16 @@
 // A member counts as gone only if it is missing from several complete lists. Without this rule a
 // server that crashed without a report would stay in the ranking forever, or a zone would lose
 // all its servers at once when the platform returns an empty or partial list after an outage.
-func TestAbsenceCountsOnlyOverSeveralWholeLists(t *testing.T) {
-	all := []membership.Instance{
+func TestAbsenceRequiresSeveralCompleteLists(t *testing.T) {
+	all := []membership.Member{
 		engine("a", 1, membership.Live), engine("b", 1, membership.Live),
 		engine("c", 1, membership.Live), engine("d", 1, membership.Live),
 	}
-	goneAfter := func(list []membership.Instance, until time.Duration) time.Duration {
+	goneAfter := func(list []membership.Member, until time.Duration) time.Duration {
 		v := membership.NewView()
-		v.Listed(start, all)
+		v.ApplyList(start, all)
 		for d := 2 * time.Second; d <= until; d += 2 * time.Second {
-			v.Listed(at(d), list)
+			v.ApplyList(at(d), list)
 			if v.Get("d").State == membership.Gone {
 				return d
 			}
@@ -100,44 +100,44 @@
 // A live server that was temporarily missing from the platform's list must get requests again
 // without a restart. Absence is only inferred, so a later list undoes it, unlike a reported
 // leaving state. Absence is never sent to peers.
-func TestAListUndoesAbsenceButNotAWord(t *testing.T) {
-	all := []membership.Instance{engine("a", 1, membership.Live), engine("b", 1, membership.Live), engine("c", 1, membership.Live)}
+func TestListUndoesAbsenceButNotReportedState(t *testing.T) {
+	all := []membership.Member{engine("a", 1, membership.Live), engine("b", 1, membership.Live), engine("c", 1, membership.Live)}
 	v := membership.NewView()
-	v.Listed(start, all)
+	v.ApplyList(start, all)
 	seq := v.Seq()
 	for d := 2 * time.Second; d <= 20*time.Second; d += 2 * time.Second {
-		v.Listed(at(d), all[:2])
+		v.ApplyList(at(d), all[:2])
 	}
 	require.Equal(t, membership.Gone, v.Get("c").State)
 	changes, complete := v.Changes(seq, 10)
 	require.True(t, complete)
-	require.Equal(t, []membership.Instance{all[2]}, changes, "peers get the reported state, not the inferred one")
+	require.Equal(t, []membership.Member{all[2]}, changes, "peers get the reported state, not the inferred one")
 
-	v.Listed(at(22*time.Second), all)
+	v.ApplyList(at(22*time.Second), all)
 	require.Equal(t, membership.Live, v.Get("c").State)
 
-	v.Learn(at(23*time.Second), membership.Fact{Name: "c", Incarnation: 1, State: membership.Leaving})
-	v.Listed(at(24*time.Second), all)
+	v.ApplyFact(at(23*time.Second), membership.Fact{Name: "c", Incarnation: 1, State: membership.Leaving})
+	v.ApplyList(at(24*time.Second), all)
 	require.Equal(t, membership.Leaving, v.Get("c").State)
-	v.Listed(at(26*time.Second), []membership.Instance{all[0], all[1], engine("c", 2, membership.Live)})
+	v.ApplyList(at(26*time.Second), []membership.Member{all[0], all[1], engine("c", 2, membership.Live)})
 	require.Equal(t, membership.Live, v.Get("c").State, "a new incarnation under the same address")
 }
 
 // Two instances whose lists have different addresses for a member must not overwrite each other's
 // address. They would otherwise exchange updates forever and each would dial the other's address.
-func TestAPeerIntroducesButDoesNotRewrite(t *testing.T) {
+func TestPeerEntryDoesNotOverwriteKnownFields(t *testing.T) {
 	v := membership.NewView()
 	own := engine("a", 1, membership.Live)
-	v.Listed(start, []membership.Instance{own})
+	v.ApplyList(start, []membership.Member{own})
 	theirs := own
 	theirs.Address = "127.0.0.1:2"
-	require.False(t, v.Introduce(at(time.Second), theirs))
+	require.False(t, v.MergeFromPeer(at(time.Second), theirs))
 	require.Equal(t, own.Address, v.Get("a").Address)
 	theirs.State = membership.Leaving
-	require.True(t, v.Introduce(at(2*time.Second), theirs))
+	require.True(t, v.MergeFromPeer(at(2*time.Second), theirs))
 	require.Equal(t, own.Address, v.Get("a").Address)
 	theirs.Incarnation, theirs.State = 2, membership.Live
-	require.True(t, v.Introduce(at(3*time.Second), theirs))
+	require.True(t, v.MergeFromPeer(at(3*time.Second), theirs))
 	require.Equal(t, theirs, *v.Get("a"), "a new incarnation may have another address")
 }
 
@@ -145,9 +145,9 @@
 // ordered by its own clock. Without that order it would never get requests again after a drain
 // and restart, or long responses whose headers were written before the drain would make it live
 // again while it drains.
-func TestFixedServersAreOrderedByTheirOwnClock(t *testing.T) {
+func TestStaticServersAreOrderedByTheirOwnClock(t *testing.T) {
 	report := func(v *membership.View, when time.Duration, s membership.State, fresh bool) {
-		v.Report(at(time.Hour), membership.Report{Backend: "portal-a", State: s, At: at(when)}, fresh)
+		v.ApplyReport(at(time.Hour), membership.Report{Backend: "portal-a", State: s, At: at(when)}, fresh)
 	}
 	v := membership.NewView()
 	report(v, 1*time.Second, membership.Live, true)
@@ -166,30 +166,30 @@
 
 // A server that restarts every minute must not get its full load each time, since each crash
 // loses its requests in progress. The view counts recent returns and ramps up the load in steps.
-func TestFlappingServersComeBackBySteps(t *testing.T) {
+func TestFlappingServerIsRampedUp(t *testing.T) {
 	v := membership.NewView()
 	v.Merge(start, engine("a", 1, membership.Live))
-	require.InDelta(t, 1, v.Share("a", start), 0, "a first start")
+	require.InDelta(t, 1, v.LoadShare("a", start), 0, "a first start")
 	flap := func(d time.Duration, incarnation uint64) {
 		v.Merge(at(d), engine("a", incarnation-1, membership.Gone))
 		v.Merge(at(d), engine("a", incarnation, membership.Live))
 	}
 	flap(time.Minute, 2)
-	require.InDelta(t, 1, v.Share("a", at(time.Minute)), 0, "one planned restart")
+	require.InDelta(t, 1, v.LoadShare("a", at(time.Minute)), 0, "one planned restart")
 	flap(2*time.Minute, 3)
 	shares := func(from time.Duration, steps ...time.Duration) (got []float64) {
 		for _, s := range steps {
-			got = append(got, v.Share("a", at(from+s)))
+			got = append(got, v.LoadShare("a", at(from+s)))
 		}
 		return got
 	}
 	require.Equal(t, []float64{0.25, 0.5, 1}, shares(2*time.Minute, 0, 10*time.Second, 20*time.Second))
-	require.Equal(t, []string{"a"}, v.Stepped(at(2*time.Minute+11*time.Second)))
-	require.Empty(t, v.Stepped(at(2*time.Minute+12*time.Second)))
+	require.Equal(t, []string{"a"}, v.ChangedShares(at(2*time.Minute+11*time.Second)))
+	require.Empty(t, v.ChangedShares(at(2*time.Minute+12*time.Second)))
 	flap(3*time.Minute, 4)
 	require.Equal(t, []float64{0.25, 0.25, 0.5, 1}, shares(3*time.Minute, 0, 10*time.Second, 20*time.Second, 40*time.Second))
 	flap(time.Hour, 5)
-	require.InDelta(t, 1, v.Share("a", at(time.Hour)), 0, "no return for a long time before")
+	require.InDelta(t, 1, v.LoadShare("a", at(time.Hour)), 0, "no return for a long time before")
 }
 
 // Gone members must be dropped eventually, or memory would grow without bound. If they are dropped
--- a/internal/core/mesh/mesh.go
+++ b/internal/core/mesh/mesh.go
@@ -25,10 +25,10 @@
 // the fleet is a full mesh.
 const FullMeshLimit = 10
 
-// bridgesPerPair is the number of links over which two availability zones exchange facts.
+// bridgesPerZonePair is the number of links over which two availability zones exchange facts.
 // With two, a single frozen instance does not disconnect the zones. The links join the
 // aggregators of the first shards in the first rows.
-const bridgesPerPair = 2
+const bridgesPerZonePair = 2
 
 // Member is one instance of the fleet.
 type Member struct {
@@ -43,25 +43,26 @@
 
 // Layout is the layout of the fleet from the point of view of one instance.
 type Layout struct {
-	self  string
-	mates []string
-	// apart is set if the fleet is not a full mesh.
-	apart bool
-	// home is this instance's zone, and row the number of its row there.
-	home *zone
-	row  int
-	// others are the other zones, by name.
-	others map[string]*zone
-	// slices is the number of shards, which equals the length of the longest row.
-	slices int
+	self     string
+	rowPeers []string
+	// hierarchical is set if the fleet is not a full mesh.
+	hierarchical bool
+	// homeZone is this instance's zone, and row the number of its row there.
+	homeZone *zone
+	row      int
+	// otherZones holds the other zones by name.
+	otherZones map[string]*zone
+	// shardCount is the number of shards: the average row length, rounded down, of the zone with
+	// the longest rows.
+	shardCount int
 }
 
 // zone is an availability zone of a fleet that is not a full mesh.
 type zone struct {
 	// rows has a single row if the zone is a full mesh.
 	rows [][]string
-	// heads holds the aggregator of each shard in each row, indexed by row and shard.
-	heads [][]string
+	// aggregators holds the aggregator of each shard in each row, indexed by row and shard.
+	aggregators [][]string
 }
 
 // wholeFleet is the key for all zones together; no zone has an empty name.
@@ -82,35 +83,35 @@
 		}
 	}
 	if active[wholeFleet] <= FullMeshLimit {
-		l.mates = without(all, self.Name)
+		l.rowPeers = without(all, self.Name)
 		return l
 	}
-	l.apart = true
-	l.others = make(map[string]*zone)
+	l.hierarchical = true
+	l.otherZones = make(map[string]*zone)
 	for name, list := range inZone {
 		z := &zone{rows: zoneRows(list, active[name])}
-		l.slices = max(l.slices, len(list)/len(z.rows))
-		l.others[name] = z
+		l.shardCount = max(l.shardCount, len(list)/len(z.rows))
+		l.otherZones[name] = z
 	}
-	for _, z := range l.others {
-		z.layHeads(l.slices)
+	for _, z := range l.otherZones {
+		z.assignAggregators(l.shardCount)
 	}
-	l.settleIn(self.Zone)
+	l.setHomeZone(self.Zone)
 	return l
 }
 
-// settleIn sets this instance's own zone and removes it from the other zones.
-func (l *Layout) settleIn(name string) {
-	l.home = l.others[name]
-	delete(l.others, name)
-	l.row = slices.IndexFunc(l.home.rows, func(row []string) bool { return slices.Contains(row, l.self) })
-	l.mates = without(l.home.rows[l.row], l.self)
+// setHomeZone sets this instance's own zone and removes it from the other zones.
+func (l *Layout) setHomeZone(name string) {
+	l.homeZone = l.otherZones[name]
+	delete(l.otherZones, name)
+	l.row = slices.IndexFunc(l.homeZone.rows, func(row []string) bool { return slices.Contains(row, l.self) })
+	l.rowPeers = without(l.homeZone.rows[l.row], l.self)
 }
 
-// layHeads assigns each shard an aggregator in each row.
-func (z *zone) layHeads(count int) {
+// assignAggregators assigns each shard an aggregator in each row.
+func (z *zone) assignAggregators(count int) {
 	for _, row := range z.rows {
-		z.heads = append(z.heads, sliceHeads(row, count))
+		z.aggregators = append(z.aggregators, shardAggregators(row, count))
 	}
 }
 
@@ -120,7 +121,7 @@
 	if active <= FullMeshLimit {
 		return [][]string{names}
 	}
-	return spread(names, rowCount(len(names)))
+	return assignRows(names, rowCount(len(names)))
 }
 
 // rowCount returns the power of two nearest to the square root of n. A power of two
@@ -129,13 +130,13 @@
 	return 1 << int(math.Round(math.Log2(float64(n))/2))
 }
 
-// spread divides the names into rows whose lengths differ by at most one. Names are
+// assignRows divides the names into rows whose lengths differ by at most one. Names are
 // assigned in hash order, each to its highest-ranked row that has room, so adding or
 // removing a name moves few others.
-func spread(names []string, rows int) [][]string {
+func assignRows(names []string, rows int) [][]string {
 	out := make([][]string, rows)
 	floor, extra := len(names)/rows, len(names)%rows
-	for _, name := range byHash(names) {
+	for _, name := range sortedByHash(names) {
 		best, bestScore := -1, uint64(0)
 		for i := range out {
 			if len(out[i]) > floor || (len(out[i]) == floor && extra == 0) {
@@ -157,8 +158,8 @@
 	return out
 }
 
-// byHash returns the names sorted by hash.
-func byHash(names []string) []string {
+// sortedByHash returns the names sorted by hash.
+func sortedByHash(names []string) []string {
 	out := slices.Clone(names)
 	slices.SortFunc(out, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvous.Hash(a), rendezvous.Hash(b)), cmp.Compare(a, b))
@@ -166,21 +167,21 @@
 	return out
 }
 
-// rowKey and sliceKey hash fixed prefixes. All instances must use the same ones to compute the
+// rowKey and shardKey hash fixed prefixes. All instances must use the same ones to compute the
 // same layout, also while two versions of the program run side by side.
 func rowKey(i int) uint64   { return rendezvous.Hash("row " + strconv.Itoa(i)) }
-func sliceKey(i int) uint64 { return rendezvous.Hash("slice " + strconv.Itoa(i)) }
+func shardKey(i int) uint64 { return rendezvous.Hash("slice " + strconv.Itoa(i)) }
 
-// sliceHeads assigns each shard to a member of the row. The members' numbers of shards
+// shardAggregators assigns each shard to a member of the row. The members' numbers of shards
 // differ by at most one.
-func sliceHeads(row []string, count int) []string {
+func shardAggregators(row []string, count int) []string {
 	aggregators := make([]string, count)
 	var free []string
 	for s := range aggregators {
 		if len(free) == 0 {
 			free = slices.Clone(row)
 		}
-		aggregators[s] = rendezvous.Top(sliceKey(s), free, 1)[0]
+		aggregators[s] = rendezvous.Top(shardKey(s), free, 1)[0]
 		free = without(free, aggregators[s])
 	}
 	return aggregators
@@ -196,91 +197,91 @@
 	return out
 }
 
-// Mates returns the other instances of this instance's row. In a full mesh these are all
+// RowPeers returns the other instances of this instance's row. In a full mesh these are all
 // other instances.
-func (l *Layout) Mates() []string { return l.mates }
+func (l *Layout) RowPeers() []string { return l.rowPeers }
 
-// Apart reports whether the fleet is too large for a full mesh, so that loads are
+// Hierarchical reports whether the fleet is too large for a full mesh, so that loads are
 // aggregated on their way.
-func (l *Layout) Apart() bool { return l.apart }
+func (l *Layout) Hierarchical() bool { return l.hierarchical }
 
-// Rows reports whether this instance's zone has more than one row. If not, row peers send
+// MultipleRows reports whether this instance's zone has more than one row. If not, row peers send
 // each other all their loads.
-func (l *Layout) Rows() bool { return l.apart && len(l.home.rows) > 1 }
+func (l *Layout) MultipleRows() bool { return l.hierarchical && len(l.homeZone.rows) > 1 }
 
-// Slices returns the number of shards; 0 in a full mesh.
-func (l *Layout) Slices() int { return l.slices }
+// ShardCount returns the number of shards; 0 in a full mesh.
+func (l *Layout) ShardCount() int { return l.shardCount }
 
-// Slice returns the shard of a backend server.
-func (l *Layout) Slice(backend string) int {
-	return int(rendezvous.Hash(backend) % uint64(l.Slices()))
+// ShardOf returns the shard of a backend server.
+func (l *Layout) ShardOf(backend string) int {
+	return int(rendezvous.Hash(backend) % uint64(l.ShardCount()))
 }
 
-// Head returns the instance that aggregates a shard in this instance's row.
-func (l *Layout) Head(shard int, silent func(string) bool) string {
-	return l.home.head(l.row, shard, silent)
+// Aggregator returns the instance that aggregates a shard in this instance's row.
+func (l *Layout) Aggregator(shard int, silent func(string) bool) string {
+	return l.homeZone.aggregator(l.row, shard, silent)
 }
 
-// Columns returns the aggregators of a shard in the other rows of this zone.
-func (l *Layout) Columns(shard int, silent func(string) bool) []string {
+// OtherRowAggregators returns the aggregators of a shard in the other rows of this zone.
+func (l *Layout) OtherRowAggregators(shard int, silent func(string) bool) []string {
 	var out []string
-	for i := range l.home.rows {
+	for i := range l.homeZone.rows {
 		if i != l.row {
-			out = append(out, l.home.head(i, shard, silent))
+			out = append(out, l.homeZone.aggregator(i, shard, silent))
 		}
 	}
 	return out
 }
 
-// Counterparts holds aggregators of a shard in other zones: Told receive the sum of this
-// zone, and Heard send the sums of their zones.
-type Counterparts struct{ Told, Heard []string }
+// RemoteAggregators holds aggregators of a shard in other zones: Receivers get the sum of
+// this zone, and Senders send the sums of their zones.
+type RemoteAggregators struct{ Receivers, Senders []string }
 
-// Counterparts returns the aggregators in other zones that exchange zone sums with the
+// RemoteAggregators returns the aggregators in other zones that exchange zone sums with the
 // aggregator of a shard in this row. Each row receives the sum of another zone from one row
 // of that zone; if that zone has fewer rows, one of its rows sends to several.
-func (l *Layout) Counterparts(shard int, silent func(string) bool) Counterparts {
-	var c Counterparts
-	rows := len(l.home.rows)
-	for _, z := range l.others {
-		c.Heard = append(c.Heard, z.head(l.row%len(z.rows), shard, silent))
+func (l *Layout) RemoteAggregators(shard int, silent func(string) bool) RemoteAggregators {
+	var c RemoteAggregators
+	rows := len(l.homeZone.rows)
+	for _, z := range l.otherZones {
+		c.Senders = append(c.Senders, z.aggregator(l.row%len(z.rows), shard, silent))
 		for i := l.row; i < len(z.rows); i += rows {
-			c.Told = append(c.Told, z.head(i, shard, silent))
+			c.Receivers = append(c.Receivers, z.aggregator(i, shard, silent))
 		}
 	}
-	slices.Sort(c.Told)
-	slices.Sort(c.Heard)
+	slices.Sort(c.Receivers)
+	slices.Sort(c.Senders)
 	return c
 }
 
 // Bridges returns the instances in other zones with which this instance exchanges facts.
 func (l *Layout) Bridges(silent func(string) bool) []string {
 	var out []string
-	if !l.apart || l.row != 0 {
+	if !l.hierarchical || l.row != 0 {
 		return out
 	}
-	for s := range min(bridgesPerPair, l.slices) {
-		if l.Head(s, silent) != l.self {
+	for s := range min(bridgesPerZonePair, l.shardCount) {
+		if l.Aggregator(s, silent) != l.self {
 			continue
 		}
-		for _, z := range l.others {
-			out = append(out, z.head(0, s, silent))
+		for _, z := range l.otherZones {
+			out = append(out, z.aggregator(0, s, silent))
 		}
 	}
 	return out
 }
 
-// head returns the acting aggregator of a shard in a row: the assigned one, or, while that
+// aggregator returns the acting aggregator of a shard in a row: the assigned one, or, while that
 // is silent, the highest-ranked other member of the row that is not silent. An aggregator
 // has a link to every instance that depends on it (its row peers and the other aggregators
 // of its shard), so each of them detects its silence without being told.
-func (z *zone) head(row, shard int, silent func(string) bool) string {
-	assigned := z.heads[row][shard]
+func (z *zone) aggregator(row, shard int, silent func(string) bool) string {
+	assigned := z.aggregators[row][shard]
 	if !silent(assigned) {
 		return assigned
 	}
 	members := z.rows[row]
-	for _, name := range rendezvous.Top(sliceKey(shard), members, len(members)) {
+	for _, name := range rendezvous.Top(shardKey(shard), members, len(members)) {
 		if name != assigned && !silent(name) {
 			return name
 		}
@@ -291,15 +292,15 @@
 // Peers returns all instances that this one must hold a link to, sorted. Assigned
 // aggregators are included even while they are silent, so that their recovery is detected.
 func (l *Layout) Peers(silent func(string) bool) []string {
-	out := slices.Clone(l.mates)
+	out := slices.Clone(l.rowPeers)
 	noneSilent := func(string) bool { return false }
-	for s := range l.slices {
-		if l.Head(s, silent) != l.self {
+	for s := range l.shardCount {
+		if l.Aggregator(s, silent) != l.self {
 			continue
 		}
 		for _, isSilent := range []func(string) bool{silent, noneSilent} {
-			remote := l.Counterparts(s, isSilent)
-			out = slices.Concat(out, l.Columns(s, isSilent), remote.Told, remote.Heard)
+			remote := l.RemoteAggregators(s, isSilent)
+			out = slices.Concat(out, l.OtherRowAggregators(s, isSilent), remote.Receivers, remote.Senders)
 		}
 	}
 	slices.Sort(out)
--- a/internal/core/mesh/mesh_test.go
+++ b/internal/core/mesh/mesh_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func awake(string) bool { return false }
+func noneSilent(string) bool { return false }
 
 func fleet(n, zones int) []Member {
 	var out []Member
@@ -35,42 +35,42 @@
 			all := layouts(fleet(n, zones))
 			for _, backend := range []string{"engine-1", "engine-2", "portal"} {
 				for name, l := range all {
-					require.Equal(t, n, heard(t, all, l, backend), "%d instances, at %s", n, name)
+					require.Equal(t, n, countReaching(t, all, l, backend), "%d instances, at %s", n, name)
 				}
 			}
 		}
 	}
 }
 
-// heard returns the number of instances whose loads at a backend server reach l.
-func heard(t *testing.T, all map[string]*Layout, l *Layout, backend string) int {
-	if !l.Apart() {
-		return 1 + len(l.mates)
+// countReaching returns the number of instances whose loads at a backend server reach l.
+func countReaching(t *testing.T, all map[string]*Layout, l *Layout, backend string) int {
+	if !l.Hierarchical() {
+		return 1 + len(l.rowPeers)
 	}
-	s := l.Slice(backend)
-	aggregator := all[l.Head(s, awake)]
-	sum := zoneSum(t, all, aggregator, s)
-	for _, other := range aggregator.Counterparts(s, awake).Heard {
-		require.Contains(t, all[other].Counterparts(s, awake).Told, aggregator.self)
-		sum += zoneSum(t, all, all[other], s)
+	s := l.ShardOf(backend)
+	aggregator := all[l.Aggregator(s, noneSilent)]
+	sum := countZone(t, all, aggregator, s)
+	for _, other := range aggregator.RemoteAggregators(s, noneSilent).Senders {
+		require.Contains(t, all[other].RemoteAggregators(s, noneSilent).Receivers, aggregator.self)
+		sum += countZone(t, all, all[other], s)
 	}
 	return sum
 }
 
-// zoneSum returns the number of instances in an aggregator's zone whose loads in a shard
+// countZone returns the number of instances in an aggregator's zone whose loads in a shard
 // reach it.
-func zoneSum(t *testing.T, all map[string]*Layout, aggregator *Layout, shard int) int {
-	sum := 1 + len(aggregator.mates)
-	for _, column := range aggregator.Columns(shard, awake) {
-		sum += 1 + len(all[column].mates)
-		require.Contains(t, all[column].Columns(shard, awake), aggregator.self)
+func countZone(t *testing.T, all map[string]*Layout, aggregator *Layout, shard int) int {
+	sum := 1 + len(aggregator.rowPeers)
+	for _, column := range aggregator.OtherRowAggregators(shard, noneSilent) {
+		sum += 1 + len(all[column].rowPeers)
+		require.Contains(t, all[column].OtherRowAggregators(shard, noneSilent), aggregator.self)
 	}
 	return sum
 }
 
 // Zones of very different sizes have different numbers of rows; a load must still reach
 // each instance exactly once.
-func TestUnequalZonesHearEachOtherOnce(t *testing.T) {
+func TestUnequalZonesReceiveEachLoadOnce(t *testing.T) {
 	var members []Member
 	for zone, size := range []int{1, 5, 12, 60} {
 		for i := range size {
@@ -79,9 +79,9 @@
 	}
 	all := layouts(members)
 	for name, l := range all {
-		require.Equal(t, len(members), heard(t, all, l, "engine-1"), "at %s", name)
-		for _, p := range l.Peers(awake) {
-			require.Contains(t, all[p].Peers(awake), name)
+		require.Equal(t, len(members), countReaching(t, all, l, "engine-1"), "at %s", name)
+		for _, p := range l.Peers(noneSilent) {
+			require.Contains(t, all[p].Peers(noneSilent), name)
 		}
 	}
 }
@@ -94,11 +94,11 @@
 		all := layouts(fleet(size.n, size.zones))
 		most := 0
 		for name, l := range all {
-			peers := l.Peers(awake)
-			require.Equal(t, size.n > FullMeshLimit, l.Apart())
+			peers := l.Peers(noneSilent)
+			require.Equal(t, size.n > FullMeshLimit, l.Hierarchical())
 			most = max(most, len(peers))
 			for _, p := range peers {
-				require.Contains(t, all[p].Peers(awake), name)
+				require.Contains(t, all[p].Peers(noneSilent), name)
 			}
 		}
 		t.Logf("%d instances in %d zones: %d links at most", size.n, size.zones, most)
@@ -106,32 +106,32 @@
 	}
 }
 
-// TestSilentHeadIsReplacedByTheSame freezes the aggregator of a shard: its row peers and
+// TestSilentAggregatorHasOneReplacement freezes the aggregator of a shard: its row peers and
 // the shard's aggregators in other rows must choose the same replacement without exchanging
 // messages. Otherwise loads would be counted twice or not at all.
-func TestSilentHeadIsReplacedByTheSame(t *testing.T) {
+func TestSilentAggregatorHasOneReplacement(t *testing.T) {
 	all := layouts(fleet(58, 1))
 	self := all["entry-000"]
-	for s := range self.Slices() {
-		frozen := self.Head(s, awake)
+	for s := range self.ShardCount() {
+		frozen := self.Aggregator(s, noneSilent)
 		silent := func(name string) bool { return name == frozen }
-		acting := self.Head(s, silent)
+		acting := self.Aggregator(s, silent)
 		require.NotEqual(t, frozen, acting)
-		for _, mate := range self.mates {
+		for _, mate := range self.rowPeers {
 			if mate != frozen {
-				require.Equal(t, acting, all[mate].Head(s, silent))
+				require.Equal(t, acting, all[mate].Aggregator(s, silent))
 			}
 		}
-		for _, column := range self.Columns(s, awake) {
+		for _, column := range self.OtherRowAggregators(s, noneSilent) {
 			require.Contains(t, all[column].Peers(silent), acting)
 			require.Contains(t, all[column].Peers(silent), frozen, "its recovery must be detected")
 		}
 	}
 }
 
-// TestReplacementMovesFew replaces one instance at a time and checks that few rows change.
+// TestReplacementChangesFewRows replaces one instance at a time and checks that few rows change.
 // With 290 replacements a day, a change of all rows would cost a full refresh each time.
-func TestReplacementMovesFew(t *testing.T) {
+func TestReplacementChangesFewRows(t *testing.T) {
 	members := fleet(58, 1)
 	before := layouts(members)
 	changed := 0
@@ -140,7 +140,7 @@
 		replaced := slices.Clone(members)
 		replaced[i] = Member{Name: fmt.Sprint("fresh-", i), Zone: "zone-0"}
 		for name, l := range layouts(replaced) {
-			if old := before[name]; old != nil && !slices.Equal(l.home.rows[l.row], old.home.rows[old.row]) {
+			if old := before[name]; old != nil && !slices.Equal(l.homeZone.rows[l.row], old.homeZone.rows[old.row]) {
 				changed++
 			}
 		}
--- a/internal/core/news.go
+++ b/internal/core/news.go
@@ -18,36 +18,36 @@
 // reads of the list are not sent to any peer.
 func (n *Node) markChanges() {
 	p := &n.peers
-	if p.floor == 0 && !n.members.read.IsZero() {
-		p.floor = n.view.Seq()
+	if p.initialSeq == 0 && !n.members.readAt.IsZero() {
+		p.initialSeq = n.view.Seq()
 	}
-	if len(p.marks) == 0 || n.now.Sub(p.marks[len(p.marks)-1].at) >= markEvery {
+	if len(p.marks) == 0 || n.now.Sub(p.marks[len(p.marks)-1].at) >= changeMarkInterval {
 		p.marks = append(p.marks, changeMark{n.view.Seq(), n.now})
 	}
-	for len(p.marks) > 1 && n.now.Sub(p.marks[1].at) > factLifetime {
+	for len(p.marks) > 1 && n.now.Sub(p.marks[1].at) > maxFactAge {
 		p.marks = p.marks[1:]
 	}
 }
 
-// tellNobodyOf marks the view's changes up to seq as known to every peer. Running instances
+// skipChangesUpTo marks the view's changes up to seq as known to every peer. Running instances
 // know what a starting instance reads in its first lists, and those that start at the same time
 // read the same lists. When hundreds started together, each sent each peer the records of all
 // others.
-func (n *Node) tellNobodyOf(seq uint64) {
-	n.peers.floor = seq
+func (n *Node) skipChangesUpTo(seq uint64) {
+	n.peers.initialSeq = seq
 	for _, p := range n.peers.byName {
-		p.toldSeq = max(p.toldSeq, seq)
-		p.introducedSeq = max(p.introducedSeq, seq)
+		p.sentFactsSeq = max(p.sentFactsSeq, seq)
+		p.sentMembersSeq = max(p.sentMembersSeq, seq)
 	}
 }
 
-// toldChanges returns the sequence number up to which a peer that connects now needs no
+// knownSeqOnConnect returns the sequence number up to which a peer that connects now needs no
 // changes.
-func (n *Node) toldChanges() uint64 {
+func (n *Node) knownSeqOnConnect() uint64 {
 	if len(n.peers.marks) == 0 {
 		return n.view.Seq()
 	}
-	return max(n.peers.floor, n.peers.marks[0].seq)
+	return max(n.peers.initialSeq, n.peers.marks[0].seq)
 }
 
 // addMembers adds the view's changes since the last digest to the peer. Every instance forwards
@@ -55,29 +55,29 @@
 // sent as full records, because the receiver may not have read the list since. In a large fleet
 // they are delayed, and most receivers have read the list by then.
 func (n *Node) addMembers(p *peerState, d *Digest) {
-	for _, in := range n.changesSince(p.toldSeq) {
-		if in.State != membership.Live && !n.backends.tells(in) {
+	for _, in := range n.changesSince(p.sentFactsSeq) {
+		if in.State != membership.Live && !n.backends.conveys(in) {
 			d.Facts = append(d.Facts, membership.Fact{Name: in.Name, Incarnation: in.Incarnation, State: in.State})
 		}
 	}
-	p.toldSeq = n.view.Seq()
-	if n.now.Before(p.introduceAt) {
+	p.sentFactsSeq = n.view.Seq()
+	if n.now.Before(p.membersDue) {
 		return
 	}
-	if n.apart() {
-		p.introduceAt = n.now.Add(n.jitter(introduceEvery))
+	if n.multiHop() {
+		p.membersDue = n.now.Add(n.jitter(memberRecordInterval))
 	}
-	for _, in := range n.changesSince(p.introducedSeq) {
-		if in.State == membership.Live && !n.backends.tells(in) && p.introduced[in.Name] < in.Incarnation {
+	for _, in := range n.changesSince(p.sentMembersSeq) {
+		if in.State == membership.Live && !n.backends.conveys(in) && p.receivedMembers[in.Name] < in.Incarnation {
 			d.Members = append(d.Members, in)
 		}
 	}
-	p.introducedSeq = n.view.Seq()
-	clear(p.introduced)
+	p.sentMembersSeq = n.view.Seq()
+	clear(p.receivedMembers)
 }
 
 // changesSince returns the view's changes after seq, newest first.
-func (n *Node) changesSince(seq uint64) []membership.Instance {
+func (n *Node) changesSince(seq uint64) []membership.Member {
 	changes, complete := n.view.Changes(seq, maxDigestFacts)
 	if !complete {
 		n.emit(Counted{Counter: counterShed, Label: "fact", N: 1})
@@ -85,22 +85,22 @@
 	return changes
 }
 
-// hurryNews schedules immediate digests to all peers for changes that cannot wait for the next
-// round: a new configuration in force, changed backend server entries, and instances that are
-// leaving or gone.
-func (n *Node) hurryNews() {
+// announceUrgentChanges schedules immediate digests to all peers for changes that cannot wait
+// for the next round: a new configuration in force, changed backend server entries, and
+// instances that are leaving or gone.
+func (n *Node) announceUrgentChanges() {
 	generation, leaving, seq := n.generation(), n.lifecycle.stopping, n.view.Seq()
-	urgent := generation != n.peers.generation || leaving != n.peers.leaving
-	urgent = urgent || n.backends.changes != n.peers.changes
-	n.peers.changes = n.backends.changes
-	if seq != n.peers.viewSeq {
-		changes, _ := n.view.Changes(n.peers.viewSeq, maxDigestFacts)
-		urgent = urgent || slices.ContainsFunc(changes, func(in membership.Instance) bool {
+	urgent := generation != n.peers.checkedGeneration || leaving != n.peers.checkedLeaving
+	urgent = urgent || n.backends.changes != n.peers.checkedEntryChanges
+	n.peers.checkedEntryChanges = n.backends.changes
+	if seq != n.peers.checkedSeq {
+		changes, _ := n.view.Changes(n.peers.checkedSeq, maxDigestFacts)
+		urgent = urgent || slices.ContainsFunc(changes, func(in membership.Member) bool {
 			return in.State != membership.Live
 		})
 	}
-	n.peers.generation, n.peers.leaving, n.peers.viewSeq = generation, leaving, seq
+	n.peers.checkedGeneration, n.peers.checkedLeaving, n.peers.checkedSeq = generation, leaving, seq
 	if urgent {
-		n.hurryPeers()
+		n.sendDigestsNow()
 	}
 }
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -58,27 +58,27 @@
 	effects   []Effect
 	lastOp    OpID
 
-	snapshot  *config.Snapshot
-	view      *membership.View
-	load      *load.Tracker
-	pools     map[string]*pool
-	poolOf    map[string]*pool
-	reach     reachability
-	hints     hintShares
-	prefixes  *prefix.Holders
-	sick      sickState
-	admission admissionState
-	requests  map[RequestID]*request
+	snapshot      *config.Snapshot
+	view          *membership.View
+	load          *load.Tracker
+	pools         map[string]*pool
+	poolByBackend map[string]*pool
+	reach         reachability
+	hints         hintShares
+	prefixes      *prefix.Index
+	outliers      outlierState
+	admission     admissionState
+	requests      map[RequestID]*request
 	// startWaiters are the requests that arrived before this instance could serve them.
 	startWaiters []startWaiter
-	due          dueQueue
+	timers       timerQueue
 	configs      configState
 	members      memberState
 	backends     backendsState
 	follow       followState
 	// registration is the state of this instance's own entry in the store.
 	registration registrationState
-	claims       claimState
+	claims       claimTracker
 	lifecycle    lifecycleState
 	observed     observations
 	peers        peersState
@@ -88,26 +88,26 @@
 // New returns a node without a configuration, peers or backend servers.
 func New(s Settings) *Node {
 	n := &Node{
-		settings:  s,
-		random:    rand.New(rand.NewPCG(s.Seed, s.Incarnation)),
-		view:      membership.NewView(),
-		load:      load.NewTracker(),
-		pools:     make(map[string]*pool),
-		poolOf:    make(map[string]*pool),
-		reach:     newReachability(),
-		hints:     make(hintShares),
-		prefixes:  prefix.New(),
-		sick:      sickState{tracker: health.New()},
-		admission: newAdmissionState(),
-		requests:  make(map[RequestID]*request),
-		claims:    newClaimState(),
-		members:   memberState{heard: make(map[string]time.Time)},
-		backends:  newBackendsState(),
-		follow:    followState{lost: make(map[string]time.Time)},
-		peers:     newPeersState(),
-		polls:     pollState{heard: make(map[string]time.Time)},
+		settings:      s,
+		random:        rand.New(rand.NewPCG(s.Seed, s.Incarnation)),
+		view:          membership.NewView(),
+		load:          load.NewTracker(),
+		pools:         make(map[string]*pool),
+		poolByBackend: make(map[string]*pool),
+		reach:         newReachability(),
+		hints:         make(hintShares),
+		prefixes:      prefix.New(),
+		outliers:      outlierState{tracker: health.New()},
+		admission:     newAdmissionState(),
+		requests:      make(map[RequestID]*request),
+		claims:        newClaimTracker(),
+		members:       memberState{peerContactAt: make(map[string]time.Time)},
+		backends:      newBackendsState(),
+		follow:        followState{lostAt: make(map[string]time.Time)},
+		peers:         newPeersState(),
+		polls:         pollState{reportedAt: make(map[string]time.Time)},
 	}
-	n.peers.sums = sums.New(s.Name, n.load.EachOwn, func(peer string) sums.Lists { return n.peer(peer).heard })
+	n.peers.sums = sums.New(s.Name, n.load.EachOwn, func(peer string) sums.Loads { return n.peer(peer).received })
 	return n
 }
 
@@ -140,7 +140,7 @@
 	case InstancesListed:
 		n.instancesListed(e)
 	case BackendReported:
-		n.pollEnded(e)
+		n.forwardPollReport(e)
 		n.backendReported(e)
 	case BackendsRead:
 		n.backendsRead(e)
@@ -155,7 +155,7 @@
 	case PeerLost:
 		n.peerLost(e)
 	case PeerReceived:
-		n.peerHeard(e.From)
+		n.recordPeerContact(e.From)
 		n.peerReceived(e)
 	case StopRequested:
 		n.stopRequested()
@@ -167,14 +167,14 @@
 func (n *Node) emit(e Effect) {
 	switch e := e.(type) {
 	case SendPeer:
-		if !e.Message.answersAPeer() {
+		if !e.Message.isReply() {
 			n.peers.budget.Spend(n.now, e.Message.WireEstimate(), e.Message.Digest.loadsEstimate())
 		}
 		if p := n.peers.byName[e.To]; p != nil {
-			p.lastSent = n.now
+			p.lastSentAt = n.now
 		}
 		if e.Message.Digest == nil {
-			n.askForLink(e.To)
+			n.requestLink(e.To)
 		}
 	case PollReport:
 		n.peers.budget.Spend(n.now, sizePoll, sizePoll)
@@ -189,12 +189,12 @@
 
 // ticked runs the periodic work of each part of the node.
 func (n *Node) ticked() {
-	n.tickRequests()
+	n.tickTimers()
 	n.tickFollow()
 	n.tickConfig()
 	n.tickMembers()
 	n.tickPlacement()
-	n.tickSick()
+	n.tickOutliers()
 	n.tickAdmission()
 	n.tickPeers()
 	n.tickClaims()
--- a/internal/core/peerfleet_test.go
+++ b/internal/core/peerfleet_test.go
@@ -19,7 +19,7 @@
 	t      *testing.T
 	now    time.Time
 	nodes  map[string]*Node
-	listed []membership.Instance
+	listed []membership.Member
 	wanted map[string][]PeerAddress
 	linked map[[2]string]bool
 	inbox  map[string][]Event
@@ -42,8 +42,8 @@
 	for i := range size {
 		name, zone := fmt.Sprintf("entry-%02d", i), fmt.Sprint("zone-", i%zones)
 		f.nodes[name] = New(Settings{Name: name, Zone: zone, Incarnation: 1, Seed: uint64(i)})
-		f.listed = append(f.listed, membership.Instance{
-			Name: name, Role: membership.Entry, Zone: zone, Address: name, Incarnation: 1, State: membership.Live,
+		f.listed = append(f.listed, membership.Member{
+			Name: name, Role: membership.RoleInstance, Zone: zone, Address: name, Incarnation: 1, State: membership.Live,
 		})
 	}
 	return f
@@ -55,7 +55,7 @@
 func (f *peerFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(TickInterval)
-		f.relink()
+		f.updateLinks()
 		for _, name := range f.names() {
 			if f.frozen[name] {
 				continue
@@ -82,7 +82,7 @@
 			f.wanted[name] = e.Peers
 		case SendPeer:
 			f.bytes[name] += e.Message.WireEstimate()
-			if f.linked[pair(name, e.To)] {
+			if f.linked[linkKey(name, e.To)] {
 				f.inbox[e.To] = append(f.inbox[e.To], PeerReceived{From: name, Message: e.Message})
 			}
 		}
@@ -101,29 +101,29 @@
 	return SendAttempt{}
 }
 
-// tellFarLoads makes the zones exchange their loads, as in a fleet that serves sessions.
-func (f *peerFleet) tellFarLoads() {
+// exchangeZoneLoads makes the zones exchange their loads, as in a fleet that serves sessions.
+func (f *peerFleet) exchangeZoneLoads() {
 	for _, n := range f.nodes {
-		n.peers.farLoads = true
+		n.peers.crossZoneLoads = true
 	}
 }
 
-// pair returns the key of the link between two instances.
-func pair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
+// linkKey returns the key of the link between two instances.
+func linkKey(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
-// relink establishes and drops links according to the peers that the nodes want.
-func (f *peerFleet) relink() {
+// updateLinks establishes and drops links according to the peers that the nodes want.
+func (f *peerFleet) updateLinks() {
 	wanted := make(map[[2]string]bool)
 	for name, peers := range f.wanted {
 		for _, p := range peers {
 			if f.nodes[p.Name] != nil && !f.cut(name, p.Name) {
-				wanted[pair(name, p.Name)] = true
+				wanted[linkKey(name, p.Name)] = true
 			}
 		}
 	}
 	for _, name := range f.names() {
 		for _, other := range f.names() {
-			now, before := wanted[pair(name, other)], f.linked[pair(name, other)]
+			now, before := wanted[linkKey(name, other)], f.linked[linkKey(name, other)]
 			switch {
 			case now && !before:
 				f.inbox[name] = append(f.inbox[name], PeerConnected{Peer: other, Incarnation: f.nodes[other].settings.Incarnation})
@@ -135,17 +135,19 @@
 	f.linked = wanted
 }
 
-// heard returns the load at a backend server that a node knows from its own requests and its peers.
-func heard(n *Node, backend string) int {
+// knownLoad returns the load at a backend server that a node knows from its own requests and its
+// peers.
+func knownLoad(n *Node, backend string) int {
 	sum := n.load.Own(backend)
 	for _, p := range n.peers.byName {
-		sum += p.heard.Sum(backend)
+		sum += p.received.Sum(backend)
 	}
 	return sum
 }
 
-// requireExact checks that each node in at knows the exact sum of the loads of the nodes in from.
-func (f *peerFleet) requireExact(at, from []string) {
+// requireExactLoads checks that each node in at knows the exact sum of the loads of the nodes in
+// from.
+func (f *peerFleet) requireExactLoads(at, from []string) {
 	f.t.Helper()
 	for i := range 20 {
 		backend := fmt.Sprint("engine-", i)
@@ -154,7 +156,7 @@
 			want += f.nodes[name].load.Own(backend)
 		}
 		for _, name := range at {
-			require.Equal(f.t, want, heard(f.nodes[name], backend), "%s at %s", backend, name)
+			require.Equal(f.t, want, knownLoad(f.nodes[name], backend), "%s at %s", backend, name)
 		}
 	}
 }
@@ -166,18 +168,18 @@
 	r := rand.New(rand.NewPCG(1, uint64(len(f.nodes))))
 	f.run(3 * time.Second)
 	for range 5 {
-		f.busy(r, 6)
+		f.addRandomLoads(r, 6)
 		f.run(time.Second)
 	}
 	for _, n := range f.nodes {
 		n.load.Ended("engine-3", f.now)
 	}
 	f.run(8 * time.Second)
-	f.requireExact(f.names(), f.names())
+	f.requireExactLoads(f.names(), f.names())
 }
 
-// busy adds a number of requests to random backend servers at each node.
-func (f *peerFleet) busy(r *rand.Rand, requests int) {
+// addRandomLoads adds a number of requests to random backend servers at each node.
+func (f *peerFleet) addRandomLoads(r *rand.Rand, requests int) {
 	for _, name := range f.names() {
 		for range requests {
 			f.nodes[name].load.Sent(fmt.Sprint("engine-", r.IntN(20)), f.now)
--- a/internal/core/peermsg.go
+++ b/internal/core/peermsg.go
@@ -70,7 +70,7 @@
 	// Facts are membership changes that the sender learned.
 	Facts []membership.Fact `json:"facts,omitempty"`
 	// Members are instances that the receiver may not have seen in the platform's list.
-	Members []membership.Instance `json:"members,omitempty"`
+	Members []membership.Member `json:"members,omitempty"`
 }
 
 // BackendAnswers holds the answer counts of one backend server.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -14,62 +14,64 @@
 
 // Intervals and timeouts of the communication between instances.
 const (
-	// meshRound is the interval between digests with changed loads in a full mesh. It grows up
-	// to longMeshRound when the byte budget is short.
-	meshRound, longMeshRound = 500 * time.Millisecond, time.Second
-	// rowRound and longRowRound are the same interval where loads are aggregated on the way.
-	// The mean is longer there, so that counts age better.
-	rowRound, longRowRound = time.Second, 2 * time.Second
-	// sessionRound is the minimum interval where sessions are served. Their requests go to
+	// meshDigestInterval is the interval between digests with changed loads in a full mesh. It
+	// grows up to meshMaxDigestInterval when the byte budget is short.
+	meshDigestInterval, meshMaxDigestInterval = 500 * time.Millisecond, time.Second
+	// rowDigestInterval and rowMaxDigestInterval are the same interval where loads are
+	// aggregated on the way. The mean is longer there, so that counts age better.
+	rowDigestInterval, rowMaxDigestInterval = time.Second, 2 * time.Second
+	// sessionDigestInterval is the minimum interval where sessions are served. Their requests go to
 	// engines of all zones, which fill up within a second, while a load takes four hops to
 	// reach all instances.
-	sessionRound = 250 * time.Millisecond
-	// introduceEvery is the interval at which the instances of a large fleet send each other
+	sessionDigestInterval = 250 * time.Millisecond
+	// memberRecordInterval is the interval at which the instances of a large fleet send each other
 	// the records of new members. Most peers have read them in the platform's list by then.
-	introduceEvery = 3 * time.Second
-	// outsideRound is the interval between digests to a peer outside the layout.
-	outsideRound = 10 * time.Second
-	// askedFor is how long a link to a peer outside the layout is kept after its last use.
-	askedFor = time.Minute
-	// heartbeat is the maximum interval between digests to a peer.
-	heartbeat = 2 * time.Second
-	// silentAfter is the silence after which other instances take over a peer's duties: two
+	memberRecordInterval = 3 * time.Second
+	// outsideDigestInterval is the interval between digests to a peer outside the layout.
+	outsideDigestInterval = 10 * time.Second
+	// onDemandLinkTimeout is how long a link to a peer outside the layout is kept after its
+	// last use.
+	onDemandLinkTimeout = time.Minute
+	// heartbeatInterval is the maximum interval between digests to a peer.
+	heartbeatInterval = 2 * time.Second
+	// peerSilenceTimeout is the silence after which other instances take over a peer's duties: two
 	// missed heartbeats.
-	silentAfter = 5 * time.Second
-	// forgetAfter is the silence after which a peer's loads are dropped. By then the instance
+	peerSilenceTimeout = 5 * time.Second
+	// peerLoadsTimeout is the silence after which a peer's loads are dropped. By then the instance
 	// that took over its sums has sent its first digests, and requests still in progress show
 	// up in the backend servers' own reports.
-	forgetAfter = 12 * time.Second
-	// handover is how long loads received under the previous layout still count after a layout
-	// change. For some seconds instances compute their layouts from different lists, and the
-	// new head of a slice needs up to four rounds to collect its sums. During that time the
-	// slice's servers must not look idle, or all instances would send requests to them. Some
-	// loads are counted twice meanwhile. Their servers then get too few requests, which is the
-	// lesser harm.
-	handover = 6 * time.Second
-	// refreshEvery is the mean interval between full digests to a peer.
-	refreshEvery = time.Minute
-	// layoutEvery is the interval at which the layout is checked against the list of instances.
-	layoutEvery = 500 * time.Millisecond
-	// wantedPause is the delay before the same generation is requested again. It doubles with
-	// each request.
-	wantedPause = time.Second
-	// maxWantedPause is the maximum delay between requests for the same item.
-	maxWantedPause = time.Minute
+	peerLoadsTimeout = 12 * time.Second
+	// layoutHandoverPeriod is how long loads received under the previous layout still count
+	// after a layout change. For some seconds instances compute their layouts from different
+	// lists, and the new head of a slice needs up to four rounds to collect its sums. During
+	// that time the slice's servers must not look idle, or all instances would send requests to
+	// them. Some loads are counted twice meanwhile. Their servers then get too few requests,
+	// which is the lesser harm.
+	layoutHandoverPeriod = 6 * time.Second
+	// fullDigestInterval is the mean interval between full digests to a peer.
+	fullDigestInterval = time.Minute
+	// layoutCheckInterval is the interval at which the layout is checked against the list of
+	// instances.
+	layoutCheckInterval = 500 * time.Millisecond
+	// configRequestDelay is the delay before the same generation is requested again. It doubles
+	// with each request.
+	configRequestDelay = time.Second
+	// maxPeerRequestDelay is the maximum delay between requests for the same item.
+	maxPeerRequestDelay = time.Minute
 )
 
 // Limits on the data queued for a peer.
 const (
 	// maxDigestFacts is the maximum number of membership changes in a digest.
 	maxDigestFacts = 32
-	// factLifetime is the age from which membership changes are no longer sent to a peer that
+	// maxFactAge is the age from which membership changes are no longer sent to a peer that
 	// connects. The platform's list lags by less.
-	factLifetime = 2 * time.Minute
-	// markEvery is the interval at which the view's sequence number is recorded.
-	markEvery = 10 * time.Second
-	// maxPeerAnswers is the maximum number of backend servers whose answer counts are queued
+	maxFactAge = 2 * time.Minute
+	// changeMarkInterval is the interval at which the view's sequence number is recorded.
+	changeMarkInterval = 10 * time.Second
+	// maxPendingAnswers is the maximum number of backend servers whose answer counts are queued
 	// for a peer.
-	maxPeerAnswers = 8192
+	maxPendingAnswers = 8192
 )
 
 // peersState is the state that an instance keeps about its peers.
@@ -79,56 +81,56 @@
 	nextLayout time.Time
 	// membersSeq is the view's sequence number when members was read.
 	membersSeq uint64
-	// layoutAt is the time of the last layout change.
-	layoutAt time.Time
-	surge    surge
+	// layoutChangedAt is the time of the last layout change.
+	layoutChangedAt time.Time
+	surge           surgeDetector
 	// sums aggregates the loads according to the layout.
 	sums *sums.Exchange
 	// bridges are the instances of other zones that exchange facts with this one, in addition
 	// to loads.
 	bridges []string
-	// farLoads is set while requests may go to backend servers of all zones, as those of
+	// crossZoneLoads is set while requests may go to backend servers of all zones, as those of
 	// sessions do. Zones then exchange their loads. Chats stay in their zone.
-	farLoads bool
-	linked   []PeerAddress
+	crossZoneLoads bool
+	linked         []PeerAddress
 	// inLayout holds the peers in the layout.
 	inLayout map[string]bool
-	// asked maps peers outside the layout, which are linked on demand, to the time until which
+	// onDemand maps peers outside the layout, which are linked on demand, to the time until which
 	// their links are kept.
-	asked  map[string]time.Time
-	byName map[string]*peerState
+	onDemand map[string]time.Time
+	byName   map[string]*peerState
 	// names caches the sorted keys of byName. It is nil after a change.
 	names []string
 	// budget limits the bytes sent to peers.
 	budget budget.Budget
-	// wanted paces the requests for a newer configuration.
-	wanted wanting
-	// wantedEntries paces the requests for missing entries.
-	wantedEntries wanting
+	// configRequests paces the requests for a newer configuration.
+	configRequests requestPacer
+	// entryRequests paces the requests for missing entries.
+	entryRequests requestPacer
 	// marks are the view's sequence numbers at recent times. A peer that connects is sent the
 	// changes after the oldest one.
 	marks []changeMark
-	// floor is the view's sequence number after the first reads of the platform's list. Earlier
-	// changes are not sent to a peer that connects.
-	floor uint64
+	// initialSeq is the view's sequence number after the first reads of the platform's list.
+	// Earlier changes are not sent to a peer that connects.
+	initialSeq uint64
 	// The next four fields hold the state at the last check for urgent updates.
-	generation uint64
-	leaving    bool
-	viewSeq    uint64
-	changes    int
+	checkedGeneration   uint64
+	checkedLeaving      bool
+	checkedSeq          uint64
+	checkedEntryChanges int
 }
 
 func newPeersState() peersState {
 	return peersState{
-		wanted: wanting{first: wantedPause}, wantedEntries: wanting{first: entriesAskedFor},
-		byName: make(map[string]*peerState), inLayout: make(map[string]bool), asked: make(map[string]time.Time),
+		configRequests: requestPacer{first: configRequestDelay}, entryRequests: requestPacer{first: entriesRequestDelay},
+		byName: make(map[string]*peerState), inLayout: make(map[string]bool), onDemand: make(map[string]time.Time),
 	}
 }
 
-// wanting paces the requests for an item that peers have, identified by its newest number. The
+// requestPacer paces the requests for an item that peers have, identified by its newest number. The
 // interval between requests for the same number doubles, since the item may be a text that this
 // instance cannot accept.
-type wanting struct {
+type requestPacer struct {
 	// first is the pause after the first request.
 	first  time.Duration
 	newest uint64
@@ -137,7 +139,7 @@
 }
 
 // due reports whether to send a request now. If so, it schedules the next one.
-func (r *wanting) due(newest uint64, now time.Time) bool {
+func (r *requestPacer) due(newest uint64, now time.Time) bool {
 	if newest != r.newest {
 		r.newest, r.pause, r.next = newest, r.first, time.Time{}
 	}
@@ -145,7 +147,7 @@
 		return false
 	}
 	r.next = now.Add(r.pause)
-	r.pause = min(2*r.pause, maxWantedPause)
+	r.pause = min(2*r.pause, maxPeerRequestDelay)
 	return true
 }
 
@@ -153,57 +155,57 @@
 type peerState struct {
 	name      string
 	connected bool
-	// since is the time when the peer was first added.
-	since time.Time
+	// addedAt is the time when the peer was first added.
+	addedAt time.Time
 
 	// State received from the peer.
 	incarnation uint64
 	lastSeq     uint64
-	heardAt     time.Time
-	heard       sums.Lists
+	receivedAt  time.Time
+	received    sums.Loads
 	leaving     bool
 	// wantFull is set while the peer is to be asked for a full digest.
 	wantFull bool
-	// forgotten is set once the peer's loads were dropped, until its next digest.
-	forgotten bool
+	// loadsDropped is set once the peer's loads were dropped, until its next digest.
+	loadsDropped bool
 
 	// State sent to the peer.
-	seq    uint64
-	sent   sums.Lists
-	sentAt time.Time
-	// lastSent is the time of the last message of any kind.
-	lastSent  time.Time
-	due       time.Time
-	refreshAt time.Time
+	seq          uint64
+	sent         sums.Loads
+	digestSentAt time.Time
+	// lastSentAt is the time of the last message of any kind.
+	lastSentAt    time.Time
+	digestDue     time.Time
+	fullDigestDue time.Time
 	// fullPending is set if the next digest must be full.
 	fullPending bool
 	// membersPending is set if the next digest must contain all members.
 	membersPending bool
-	toldGeneration uint64
-	toldLeaving    bool
-	// toldSeq is the view's sequence number up to which the peer was sent the instances that
+	sentGeneration uint64
+	sentLeaving    bool
+	// sentFactsSeq is the view's sequence number up to which the peer was sent the instances that
 	// are leaving or gone.
-	toldSeq uint64
-	// introducedSeq is the view's sequence number up to which the peer was sent new instances.
-	introducedSeq uint64
-	// introduceAt is the earliest time to send the peer more new instances.
-	introduceAt time.Time
-	toldEntries uint64
-	// introduced holds the incarnations of the instances whose records the peer has sent since
+	sentFactsSeq uint64
+	// sentMembersSeq is the view's sequence number up to which the peer was sent new instances.
+	sentMembersSeq uint64
+	// membersDue is the earliest time to send the peer more new instances.
+	membersDue      time.Time
+	sentEntriesUpTo uint64
+	// receivedMembers holds the incarnations of the instances whose records the peer has sent since
 	// this instance last sent it new ones.
-	introduced map[string]uint64
-	lossesDue  time.Time
-	reports    map[string]membership.Report
-	answers    map[string]health.Count
+	receivedMembers map[string]uint64
+	lossesDue       time.Time
+	pendingReports  map[string]membership.Report
+	pendingAnswers  map[string]health.Count
 }
 
 func (n *Node) peer(name string) *peerState {
 	p := n.peers.byName[name]
 	if p == nil {
 		p = &peerState{
-			name: name, since: n.now, heardAt: n.now,
-			heard: sums.NewLists(), sent: sums.NewLists(), reports: make(map[string]membership.Report),
-			answers: make(map[string]health.Count), introduced: make(map[string]uint64),
+			name: name, addedAt: n.now, receivedAt: n.now,
+			received: sums.NewLoads(), sent: sums.NewLoads(), pendingReports: make(map[string]membership.Report),
+			pendingAnswers: make(map[string]health.Count), receivedMembers: make(map[string]uint64),
 		}
 		n.peers.byName[name] = p
 		n.peers.names = nil
@@ -223,46 +225,46 @@
 // peerConnected resets the state sent to a peer. Digests sent over an earlier link may be lost,
 // so the first one is full.
 func (n *Node) peerConnected(e PeerConnected) {
-	n.emit(Learned{Subject: OfLink, Name: e.Peer, State: "up", Incarnation: e.Incarnation})
-	n.peerStarted(e)
+	n.emit(StateChanged{Subject: SubjectLink, Name: e.Peer, State: "up", Incarnation: e.Incarnation})
+	n.updatePeerIncarnation(e)
 	p := n.peer(e.Peer)
 	p.connected = true
 	p.incarnation = max(p.incarnation, e.Incarnation)
 	p.lastSeq = 0
-	p.heardAt = n.now
+	p.receivedAt = n.now
 	p.leaving = false
-	p.sent = sums.NewLists()
-	p.toldGeneration, p.toldLeaving, p.toldEntries = 0, false, 0
+	p.sent = sums.NewLoads()
+	p.sentGeneration, p.sentLeaving, p.sentEntriesUpTo = 0, false, 0
 	p.fullPending = true
-	p.due = n.now
-	p.toldSeq = n.toldChanges()
-	p.introducedSeq = p.toldSeq
-	if n.apart() {
-		p.introduceAt = n.now.Add(n.jitter(introduceEvery))
+	p.digestDue = n.now
+	p.sentFactsSeq = n.knownSeqOnConnect()
+	p.sentMembersSeq = p.sentFactsSeq
+	if n.multiHop() {
+		p.membersDue = n.now.Add(n.jitter(memberRecordInterval))
 	}
 }
 
-// peerStarted updates the view when the connected process is newer than the known incarnation.
-// An instance that had left is live again, even if its entry in the store is still the earlier
-// process's.
-func (n *Node) peerStarted(e PeerConnected) {
+// updatePeerIncarnation updates the view when the connected process is newer than the known
+// incarnation. An instance that had left is live again, even if its entry in the store is still
+// the earlier process's.
+func (n *Node) updatePeerIncarnation(e PeerConnected) {
 	in := n.view.Get(e.Peer)
-	if in == nil || in.Role != membership.Entry || in.Incarnation >= e.Incarnation {
+	if in == nil || in.Role != membership.RoleInstance || in.Incarnation >= e.Incarnation {
 		return
 	}
 	if in.State == membership.Live {
-		n.view.Renew(e.Peer, e.Incarnation)
+		n.view.UpdateIncarnation(e.Peer, e.Incarnation)
 		return
 	}
 	started := *in
 	started.Incarnation, started.State = e.Incarnation, membership.Live
-	n.learnMembers([]membership.Instance{started})
+	n.mergeMembers([]membership.Member{started})
 }
 
 // peerLost marks a peer as disconnected. The peer may be alive behind a network partition, so
 // its loads age like those of any silent peer and it is not declared dead.
 func (n *Node) peerLost(e PeerLost) {
-	n.emit(Learned{Subject: OfLink, Name: e.Peer, State: "down"})
+	n.emit(StateChanged{Subject: SubjectLink, Name: e.Peer, State: "down"})
 	if p := n.peers.byName[e.Peer]; p != nil {
 		p.connected = false
 	}
@@ -272,17 +274,17 @@
 func (n *Node) peerReceived(e PeerReceived) {
 	m := e.Message
 	if m.Digest != nil {
-		n.peerDigest(e.From, m.Digest)
+		n.applyDigest(e.From, m.Digest)
 	}
 	switch {
 	case m.ConfigOffer != nil:
 		n.offerConfig(*m.ConfigOffer)
 	case m.ConfigWanted != nil:
-		n.peerWantsConfig(e.From, m.ConfigWanted)
+		n.sendConfig(e.From, m.ConfigWanted)
 	case m.EntriesOffer != nil:
-		n.peerOffersEntries(m.EntriesOffer)
+		n.applyEntriesOffer(m.EntriesOffer)
 	case m.EntriesWanted != nil:
-		n.peerWantsEntries(e.From, m.EntriesWanted)
+		n.sendEntries(e.From, m.EntriesWanted)
 	case m.Claim != nil:
 		n.peerClaim(e.From, *m.Claim)
 	case m.ClaimReply != nil:
@@ -290,17 +292,17 @@
 	}
 }
 
-// silent reports whether a peer has sent nothing for so long that others take over its sums.
-func (n *Node) silent(name string) bool {
+// peerSilent reports whether a peer has sent nothing for so long that others take over its sums.
+func (n *Node) peerSilent(name string) bool {
 	if name == n.settings.Name || !n.neighbour(name) {
 		return false
 	}
 	p := n.peers.byName[name]
-	return p != nil && n.now.Sub(p.heardAt) > silentAfter
+	return p != nil && n.now.Sub(p.receivedAt) > peerSilenceTimeout
 }
 
-// linkedTo reports whether a message to the peer can be sent now.
-func (n *Node) linkedTo(name string) bool {
+// peerConnectedTo reports whether a message to the peer can be sent now.
+func (n *Node) peerConnectedTo(name string) bool {
 	p := n.peers.byName[name]
 	return p != nil && p.connected
 }
@@ -308,21 +310,21 @@
 // tickPeers sends the digests and polls that are due.
 func (n *Node) tickPeers() {
 	if !n.now.Before(n.peers.nextLayout) {
-		n.peers.nextLayout = n.now.Add(layoutEvery)
+		n.peers.nextLayout = n.now.Add(layoutCheckInterval)
 		n.refreshLayout()
-		n.forgetSilent()
+		n.dropSilentPeers()
 		n.markChanges()
 	}
-	n.hurryNews()
-	n.hurrySurge()
+	n.announceUrgentChanges()
+	n.announceSurge()
 	for _, name := range n.peerNames() {
 		p := n.peers.byName[name]
-		if !p.connected || n.now.Before(p.due) {
+		if !p.connected || n.now.Before(p.digestDue) {
 			continue
 		}
-		p.due = n.now.Add(n.jitter(n.roundFor(name)))
-		if idle := n.now.Sub(p.lastSent); n.outsider(name) && idle < outsideRound {
-			p.due = p.lastSent.Add(outsideRound)
+		p.digestDue = n.now.Add(n.jitter(n.digestIntervalFor(name)))
+		if idle := n.now.Sub(p.lastSentAt); n.outsideLayout(name) && idle < outsideDigestInterval {
+			p.digestDue = p.lastSentAt.Add(outsideDigestInterval)
 			continue
 		}
 		n.sendDigest(p)
@@ -330,30 +332,30 @@
 	n.tickPolls()
 }
 
-// roundFor returns the interval between digests to a peer. A peer outside the layout, whose
-// link is kept for claims, gets no loads, only digests frequent enough that the idle link is
-// not considered dead.
-func (n *Node) roundFor(name string) time.Duration {
-	if n.outsider(name) {
-		return outsideRound
+// digestIntervalFor returns the interval between digests to a peer. A peer outside the layout,
+// whose link is kept for claims, gets no loads, only digests frequent enough that the idle link
+// is not considered dead.
+func (n *Node) digestIntervalFor(name string) time.Duration {
+	if n.outsideLayout(name) {
+		return outsideDigestInterval
 	}
-	return n.round()
+	return n.digestInterval()
 }
 
-// round returns the interval between digests to a peer in the layout, as short as the byte
+// digestInterval returns the interval between digests to a peer in the layout, as short as the byte
 // budget allows. For an instance that follows the store it does not exceed the interval that
 // its neighbours expect, so that its loss is detected quickly.
-func (n *Node) round() time.Duration {
-	shortest, longest := meshRound, longMeshRound
+func (n *Node) digestInterval() time.Duration {
+	shortest, longest := meshDigestInterval, meshMaxDigestInterval
 	switch {
-	case n.apart() && n.peers.farLoads:
-		shortest, longest = sessionRound, longRowRound
-	case n.apart():
-		shortest, longest = rowRound, longRowRound
+	case n.multiHop() && n.peers.crossZoneLoads:
+		shortest, longest = sessionDigestInterval, rowMaxDigestInterval
+	case n.multiHop():
+		shortest, longest = rowDigestInterval, rowMaxDigestInterval
 	}
-	round := n.peers.budget.Round(n.now, shortest, longest)
-	if n.beats() {
-		return min(round, n.followerBeat())
+	round := n.peers.budget.RoundInterval(n.now, shortest, longest)
+	if n.sendsFollowerDigests() {
+		return min(round, n.followerDigestInterval())
 	}
 	return round
 }
@@ -364,21 +366,21 @@
 	return d + time.Duration((n.random.Float64()-0.5)*0.2*float64(d))
 }
 
-// forgetSilent drops the loads of peers that have been silent for long. It drops all state of a
+// dropSilentPeers drops the loads of peers that have been silent for long. It drops all state of a
 // silent peer if no link to it is up or wanted.
-func (n *Node) forgetSilent() {
+func (n *Node) dropSilentPeers() {
 	for _, name := range n.peerNames() {
 		p := n.peers.byName[name]
 		unlinked := !p.connected && !n.wantsLink(name)
-		limit := forgetAfter
+		limit := peerLoadsTimeout
 		if unlinked {
-			limit = handover
+			limit = layoutHandoverPeriod
 		}
-		if n.now.Sub(p.heardAt) <= limit {
+		if n.now.Sub(p.receivedAt) <= limit {
 			continue
 		}
-		if !p.forgotten {
-			n.forgetLoads(p)
+		if !p.loadsDropped {
+			n.dropLoads(p)
 		}
 		if unlinked {
 			delete(n.peers.byName, name)
@@ -387,9 +389,9 @@
 	}
 }
 
-func (n *Node) forgetLoads(p *peerState) {
-	p.heard = sums.NewLists()
-	p.forgotten = true
+func (n *Node) dropLoads(p *peerState) {
+	p.received = sums.NewLoads()
+	p.loadsDropped = true
 	// The peer's next digest may be incremental, so a full one is requested.
 	p.wantFull = true
 	n.forgetPeerLoads(p.name)
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -33,9 +33,9 @@
 func TestPartitionAndHeal(t *testing.T) {
 	f := newPeerFleet(t, 8, 3)
 	f.run(2 * time.Second)
-	f.busy(rand.New(rand.NewPCG(2, 2)), 5)
+	f.addRandomLoads(rand.New(rand.NewPCG(2, 2)), 5)
 	f.run(2 * time.Second)
-	f.requireExact(f.names(), f.names())
+	f.requireExactLoads(f.names(), f.names())
 
 	zone := func(name string) string { return f.nodes[name].settings.Zone }
 	f.cut = func(a, b string) bool { return (zone(a) == "zone-0") != (zone(b) == "zone-0") }
@@ -51,31 +51,31 @@
 			require.Equal(t, membership.Live, f.nodes[name].view.Get(other).State)
 		}
 	}
-	f.requireExact(inside, inside)
-	f.requireExact(outside, outside)
+	f.requireExactLoads(inside, inside)
+	f.requireExactLoads(outside, outside)
 
 	f.cut = func(string, string) bool { return false }
 	f.run(2 * time.Second)
-	f.requireExact(f.names(), f.names())
+	f.requireExactLoads(f.names(), f.names())
 }
 
 // The head that aggregates a slice for its row freezes, so the slice's servers would look idle
 // and get too many requests. Another instance of the row must take the slice over, no load may
 // count twice, and all sums must agree again after the head resumes.
-func TestFrozenHeadPassesItsSumsOn(t *testing.T) {
+func TestFrozenHeadIsReplaced(t *testing.T) {
 	f := newPeerFleet(t, 30, 1)
 	f.run(3 * time.Second)
-	f.busy(rand.New(rand.NewPCG(3, 3)), 6)
+	f.addRandomLoads(rand.New(rand.NewPCG(3, 3)), 6)
 	f.run(5 * time.Second)
-	frozen := f.nodes["entry-07"].peers.sums.Head("engine-0")
+	frozen := f.nodes["entry-07"].peers.sums.Aggregator("engine-0")
 	f.frozen[frozen] = true
 	f.run(20 * time.Second)
 	running := slices.DeleteFunc(f.names(), func(name string) bool { return name == frozen })
-	f.requireExact(running, running)
-	f.busy(rand.New(rand.NewPCG(4, 4)), 1)
+	f.requireExactLoads(running, running)
+	f.addRandomLoads(rand.New(rand.NewPCG(4, 4)), 1)
 	f.frozen[frozen] = false
 	f.run(10 * time.Second)
-	f.requireExact(f.names(), f.names())
+	f.requireExactLoads(f.names(), f.names())
 }
 
 func digestOf(seq uint64, loads ...load.Count) PeerReceived {
@@ -85,20 +85,20 @@
 // Duplicate digests, late ones and those from before a restart would restore loads that have
 // ended, so that a server gets too few requests. A gap in the sequence must make the instance
 // request a full digest.
-func TestOldDigestsChangeNothing(t *testing.T) {
+func TestStaleDigestsAreIgnored(t *testing.T) {
 	n := New(Settings{Name: "a", Incarnation: 1})
 	now := time.Unix(1_764_000_000, 0)
 	n.Handle(now, PeerConnected{Peer: "b", Incarnation: 2})
 	n.Handle(now, digestOf(1, load.Count{Backend: "engine-1", InFlight: 4}))
 	n.Handle(now, digestOf(2, load.Count{Backend: "engine-1", InFlight: 0}))
-	require.Zero(t, heard(n, "engine-1"))
+	require.Zero(t, knownLoad(n, "engine-1"))
 
 	stale := digestOf(9, load.Count{Backend: "engine-1", InFlight: 7})
 	stale.Message.Digest.Incarnation = 1
 	for _, e := range []Event{digestOf(1, load.Count{Backend: "engine-1", InFlight: 4}), digestOf(2, load.Count{Backend: "engine-1", InFlight: 4}), stale} {
 		effects := n.Handle(now, e)
 		require.Equal(t, counterStale, effects[0].(Counted).Counter)
-		require.Zero(t, heard(n, "engine-1"))
+		require.Zero(t, knownLoad(n, "engine-1"))
 	}
 	require.False(t, n.peers.byName["b"].wantFull)
 	n.Handle(now, digestOf(4, load.Count{Backend: "engine-2", InFlight: 1}))
@@ -108,13 +108,13 @@
 	full.Message.Digest.Full = true
 	n.Handle(now, full)
 	require.False(t, n.peers.byName["b"].wantFull)
-	require.Zero(t, heard(n, "engine-2"))
-	require.Equal(t, 1, heard(n, "engine-3"))
+	require.Zero(t, knownLoad(n, "engine-2"))
+	require.Equal(t, 1, knownLoad(n, "engine-3"))
 }
 
 // A peer restarts under the same name. The requests in progress of its earlier process must be
 // dropped.
-func TestRestartedPeerStartsAtNothing(t *testing.T) {
+func TestRestartedPeerLoadsAreDropped(t *testing.T) {
 	n := New(Settings{Name: "a", Incarnation: 1})
 	now := time.Unix(1_764_000_000, 0)
 	n.Handle(now, PeerConnected{Peer: "b", Incarnation: 2})
@@ -122,14 +122,14 @@
 	restarted := digestOf(1, load.Count{Backend: "engine-2", InFlight: 1})
 	restarted.Message.Digest.Incarnation = 3
 	n.Handle(now, restarted)
-	require.Zero(t, heard(n, "engine-1"))
-	require.Equal(t, 1, heard(n, "engine-2"))
+	require.Zero(t, knownLoad(n, "engine-1"))
+	require.Equal(t, 1, knownLoad(n, "engine-2"))
 }
 
 // Every load changes all the time, far beyond what the byte budget can carry, next to a stream
 // of claims. The bytes sent must stay below the rate, and claims and the notice that an
 // instance is leaving must still be sent.
-func TestBudgetShedsLoadsNeverLeaving(t *testing.T) {
+func TestBudgetShedsLoadsButNotClaimsOrLeaving(t *testing.T) {
 	f := newPeerFleet(t, 10, 1)
 	f.run(2 * time.Second)
 	r := rand.New(rand.NewPCG(5, 5))
@@ -163,7 +163,7 @@
 // A peer's digests announce a generation whose configuration never arrives. The instance must
 // request it at growing intervals, not with every digest, and accept the configuration once it
 // is offered.
-func TestConfigurationSpreadsByDigests(t *testing.T) {
+func TestUnavailableGenerationIsRequestedWithBackoff(t *testing.T) {
 	n := New(Settings{Name: "a", Incarnation: 1})
 	now := time.Unix(1_764_000_000, 0)
 	n.Handle(now, PeerConnected{Peer: "b", Incarnation: 2})
@@ -186,7 +186,7 @@
 
 // An instance starts while the platform is unreachable. The link to its seed must be enough to
 // learn every member with its address.
-func TestNewcomerLearnsTheFleetFromAPeer(t *testing.T) {
+func TestNewInstanceLearnsMembersFromPeer(t *testing.T) {
 	f := newPeerFleet(t, 4, 1)
 	f.run(2 * time.Second)
 	f.listed = nil
@@ -203,10 +203,10 @@
 // One of 36 instances in two zones learns that a backend server is leaving, while the platform
 // is unreachable. The others must learn it within a few seconds, or they would keep sending
 // requests to that server. An instance that reconnects a minute later must learn it as well.
-func TestLeavingReachesEveryZoneWithoutThePlatform(t *testing.T) {
+func TestLeavingServerIsKnownInAllZonesDuringPlatformOutage(t *testing.T) {
 	f := newPeerFleet(t, 36, 2)
-	engine := membership.Instance{
-		Name: "engine-1", Role: membership.Backend, Service: "m", Zone: "zone-0", Incarnation: 4, State: membership.Live,
+	engine := membership.Member{
+		Name: "engine-1", Role: membership.RoleBackend, Service: "m", Zone: "zone-0", Incarnation: 4, State: membership.Live,
 	}
 	f.listed = append(f.listed, engine)
 	f.run(5 * time.Second)
@@ -214,7 +214,7 @@
 	f.cut = func(a, b string) bool { return a == disconnected || b == disconnected }
 	f.listed = nil
 	f.run(time.Second)
-	f.nodes["entry-05"].learn(membership.Fact{Name: "engine-1", Incarnation: 4, State: membership.Leaving})
+	f.nodes["entry-05"].mergeFact(membership.Fact{Name: "engine-1", Incarnation: 4, State: membership.Leaving})
 	f.run(3 * time.Second)
 	for _, name := range f.names() {
 		want := membership.Leaving
@@ -232,10 +232,10 @@
 // Three of six zones are cut off from the others for two minutes. Loads do not cross zones
 // here, so each zone must know its own exactly all the time. No instance may be declared dead,
 // and healing the partition must not cause a burst of traffic.
-func TestRegionCutMovesNoLoads(t *testing.T) {
+func TestPartitionBetweenZonesKeepsLoadsExact(t *testing.T) {
 	f := newPeerFleet(t, 36, 6)
 	f.run(3 * time.Second)
-	f.busy(rand.New(rand.NewPCG(6, 6)), 5)
+	f.addRandomLoads(rand.New(rand.NewPCG(6, 6)), 5)
 	f.run(3 * time.Second)
 	region := func(name string) bool { return f.nodes[name].settings.Zone < "zone-3" }
 	f.cut = func(a, b string) bool { return region(a) != region(b) }
@@ -247,7 +247,7 @@
 	for range 2 {
 		f.run(time.Minute)
 		for _, names := range zones {
-			f.requireExact(names, names)
+			f.requireExactLoads(names, names)
 		}
 	}
 	for _, name := range f.names() {
@@ -266,23 +266,23 @@
 // One of 30 instances is replaced, which moves other instances to different rows and slices to
 // different heads. If a slice's sums were dropped before the new head has collected its own,
 // the slice's servers would look idle and get all requests for a second or two.
-func TestReplacementLeavesNoServerLookingIdle(t *testing.T) {
+func TestInstanceReplacementKeepsLoadsVisible(t *testing.T) {
 	for _, zones := range []int{1, 3} {
 		least := 1.0
 		for _, replaced := range []string{"entry-03", "entry-11", "entry-18", "entry-26"} {
-			least = min(least, replaceOne(t, 30*zones, zones, replaced))
+			least = min(least, replaceInstance(t, 30*zones, zones, replaced))
 		}
 		t.Logf("%d zones: smallest fraction of a server's load known to an instance: %.2f", zones, least)
 		require.Greater(t, least, 0.6, "%d zones", zones)
 	}
 }
 
-// replaceOne replaces one instance of a fleet and returns the smallest fraction of a server's
+// replaceInstance replaces one instance of a fleet and returns the smallest fraction of a server's
 // load that any instance knew of in the 15 s after that.
-func replaceOne(t *testing.T, instances, zones int, replaced string) float64 {
+func replaceInstance(t *testing.T, instances, zones int, replaced string) float64 {
 	f := newPeerFleet(t, instances+1, zones)
 	if zones > 1 {
-		f.tellFarLoads()
+		f.exchangeZoneLoads()
 	}
 	newName := fmt.Sprint("entry-", instances)
 	newcomer := f.nodes[newName]
@@ -290,7 +290,7 @@
 	newRecord := f.listed[instances]
 	f.listed = f.listed[:instances]
 	f.run(3 * time.Second)
-	f.busy(rand.New(rand.NewPCG(7, 7)), 40)
+	f.addRandomLoads(rand.New(rand.NewPCG(7, 7)), 40)
 	f.run(5 * time.Second)
 	others := slices.DeleteFunc(f.names(), func(name string) bool { return name == replaced })
 	f.frozen[replaced] = true
@@ -312,47 +312,47 @@
 				total += f.nodes[name].load.Own(backend)
 			}
 			for _, name := range others {
-				least = min(least, float64(heard(f.nodes[name], backend))/float64(total))
+				least = min(least, float64(knownLoad(f.nodes[name], backend))/float64(total))
 			}
 		}
 	}
-	f.requireExact(append(others, newName), others)
+	f.requireExactLoads(append(others, newName), others)
 	return least
 }
 
 // An instance of 30 sends a claim to a range owner to which the layout gives it no link. The
 // first message is lost. A link must then be opened and the next message arrive, and no loads
 // may be sent over that link.
-func TestClaimReachesAnOwnerOutsideTheLayout(t *testing.T) {
+func TestClaimReachesOwnerOutsideLayout(t *testing.T) {
 	f := newPeerFleet(t, 30, 1)
 	f.run(3 * time.Second)
 	n := f.nodes["entry-00"]
-	i := slices.IndexFunc(f.names(), func(name string) bool { return n.outsider(name) && name != "entry-00" })
+	i := slices.IndexFunc(f.names(), func(name string) bool { return n.outsideLayout(name) && name != "entry-00" })
 	owner := f.names()[i]
 	sendClaim := func() {
 		f.handle("entry-00", Ticked{})
 		n.effects = n.effects[:0]
 		n.sendClaim(owner, claims.Request{Set: claims.Claimed, Expires: unixSeconds(f.now.Add(time.Hour))})
-		if f.linked[pair("entry-00", owner)] {
+		if f.linked[linkKey("entry-00", owner)] {
 			f.inbox[owner] = append(f.inbox[owner], PeerReceived{From: "entry-00", Message: n.effects[0].(SendPeer).Message})
 		}
 	}
 	sendClaim()
 	f.run(2 * time.Second)
-	require.True(t, f.linked[pair("entry-00", owner)])
-	require.Empty(t, f.nodes[owner].claims.ranges)
+	require.True(t, f.linked[linkKey("entry-00", owner)])
+	require.Empty(t, f.nodes[owner].claims.partitions)
 	sendClaim()
 	f.run(3 * time.Second)
-	require.NotEmpty(t, f.nodes[owner].claims.ranges)
-	f.requireExact(f.names(), f.names())
+	require.NotEmpty(t, f.nodes[owner].claims.partitions)
+	f.requireExactLoads(f.names(), f.names())
 	f.run(2 * time.Minute)
-	require.False(t, f.linked[pair("entry-00", owner)], "an unused link must be closed")
+	require.False(t, f.linked[linkKey("entry-00", owner)], "an unused link must be closed")
 }
 
 // The engines of a rack crash and return one entry at a time while requests continue. Each
 // instance used to forward each entry to all its peers, which left no bytes for loads. For half
 // a minute, requests piled up on servers that looked idle to all instances.
-func TestLoadsAreToldWhileEnginesComeAndGo(t *testing.T) {
+func TestLoadsAreSentDuringEngineChurn(t *testing.T) {
 	f := newPeerFleet(t, 30, 1)
 	f.run(3 * time.Second)
 	r := rand.New(rand.NewPCG(6, 6))
@@ -362,19 +362,19 @@
 		for range 3 {
 			revision++
 			name := fmt.Sprint("coming-", revision%25)
-			offer.Entries = append(offer.Entries, BackendEntry{Name: name, Revision: revision, Backend: &membership.Instance{
-				Name: name, Role: membership.Backend, Service: "s", Zone: "zone-0", Address: name, Incarnation: revision, State: membership.Live,
+			offer.Entries = append(offer.Entries, BackendEntry{Name: name, Revision: revision, Backend: &membership.Member{
+				Name: name, Role: membership.RoleBackend, Service: "s", Zone: "zone-0", Address: name, Incarnation: revision, State: membership.Live,
 			}})
 		}
 		f.handle("entry-00", PeerReceived{From: "entry-01", Message: PeerMessage{EntriesOffer: offer}})
-		f.run(watchPause)
+		f.run(minWatchPause)
 	}
-	f.busy(r, 6)
+	f.addRandomLoads(r, 6)
 	f.run(4 * time.Second)
-	f.requireExact(f.names(), f.names())
+	f.requireExactLoads(f.names(), f.names())
 	sum := 0
 	for _, name := range f.names() {
-		require.Equal(t, revision, f.nodes[name].backends.has(), name)
+		require.Equal(t, revision, f.nodes[name].backends.shareableRevision(), name)
 		sum += f.bytes[name]
 	}
 	require.Less(t, float64(sum)/30/19, budget.Rate, "bytes per second and instance, with ten changes per second")
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -13,35 +13,35 @@
 	if len(p.candidates) == 0 {
 		return nil, reason.NoBackend
 	}
-	choice := n.choice(r, p)
+	choice := n.routingChoice(r, p)
 	i := routing.Pick(p.candidates, &choice)
 	if i == routing.None {
 		return nil, reason.Saturated
 	}
 	p.used = true
-	n.peers.farLoads = n.peers.farLoads || r.arrived.Prompt != nil
+	n.peers.crossZoneLoads = n.peers.crossZoneLoads || r.arrived.Prompt != nil
 	return &p.candidates[i], reason.None
 }
 
-// choice returns the routing parameters of the request's next attempt.
-func (n *Node) choice(r *request, p *pool) routing.Choice {
+// routingChoice returns the routing parameters of the request's next attempt.
+func (n *Node) routingChoice(r *request, p *pool) routing.Choice {
 	chat := chatHash(r)
-	total, count := n.sharing(r, p)
+	total, count := n.loadTotals(r, p)
 	svc := r.service
 	choice := routing.Choice{
-		Chat:       chat,
-		Hinted:     n.hinted(r, p),
-		PreferNear: r.arrived.Chat == "" || n.apart(),
-		Tried:      r.tried,
+		Chat:          chat,
+		Hinted:        n.hintedCandidate(r, p),
+		PreferOwnZone: r.arrived.Chat == "" || n.multiHop(),
+		Tried:         r.tried,
 	}
 	if r.arrived.Prompt != nil {
 		// A session has one preferred engine in the whole fleet. With one per zone, each zone
 		// would prefill every prompt again.
-		choice.PreferNear = false
-		choice.Limits = routing.SessionLimits(svc.SkewBound, total, svc.SkewSlack, count, n.sessionRoom(r.arrived.Request))
+		choice.PreferOwnZone = false
+		choice.Limits = routing.SessionLimits(svc.SkewBound, total, svc.SkewSlack, count, n.sessionHeadroom(r.arrived.Request))
 		return choice
 	}
-	if n.loadBasis(p) == load.Averages {
+	if n.loadBasis(p) == load.FromAverages {
 		// With fixed limits on averaged loads, all instances would skip the same server at
 		// the same time and return to it together. A draw per request spreads their decisions
 		// instead.
@@ -49,31 +49,31 @@
 		choice.Draw = rendezvous.Unit(rendezvous.Hash(string(r.arrived.Request)))
 		return choice
 	}
-	choice.Limits = routing.LimitsFor(svc.SkewBound, total, count, chat, n.hints.kind(r)).Loosen(svc.SkewSlack)
+	choice.Limits = routing.ChatLimits(svc.SkewBound, total, count, chat, n.hints.requestKind(r)).WithSlack(svc.SkewSlack)
 	return choice
 }
 
-// apart reports whether the fleet is too large for a full mesh. Loads are then aggregated
+// multiHop reports whether the fleet is too large for a full mesh. Loads are then aggregated
 // over several hops, and the loads of other zones arrive some seconds late.
 //
 // In such a fleet chats are ranked in the instance's own zone first, because a server that
 // instances of other zones fill unnoticed looks idle from here. In a small fleet all zones
 // are ranked together, so that a chat reaches its cached prefix through an instance of any
 // zone. A placement hint may name a server in any zone.
-func (n *Node) apart() bool {
-	return n.peers.layout != nil && n.peers.layout.Apart()
+func (n *Node) multiHop() bool {
+	return n.peers.layout != nil && n.peers.layout.Hierarchical()
 }
 
-// sharing returns the total load and the number of the backend servers from which the
+// loadTotals returns the total load and the number of the backend servers from which the
 // request's limits are computed. Other zones are included only if their loads are known, or
 // if the request may go to any zone.
-func (n *Node) sharing(r *request, p *pool) (float64, int) {
-	if n.apart() && r.arrived.Prompt == nil {
-		if total, count := p.reachableNear(); count > 0 {
+func (n *Node) loadTotals(r *request, p *pool) (float64, int) {
+	if n.multiHop() && r.arrived.Prompt == nil {
+		if total, count := p.reachableLoadInZone(); count > 0 {
 			return total, count
 		}
 	}
-	return p.reachable()
+	return p.reachableLoad()
 }
 
 // chatHash returns the hash by which the backend servers are ranked for the request. A
@@ -82,14 +82,14 @@
 	if r.arrived.Chat == "" {
 		return rendezvous.Hash(string(r.arrived.Request))
 	}
-	return rendezvous.HashOf(r.arrived.Customer, r.arrived.Chat)
+	return rendezvous.HashPair(r.arrived.Customer, r.arrived.Chat)
 }
 
 // tickPlacement ages the load estimates and marks unreachable backend servers as reachable
 // once their backoff has elapsed.
 func (n *Node) tickPlacement() {
 	n.tickLoad()
-	for _, backend := range n.reach.due(n.now) {
-		n.setReach(backend, false)
+	for _, backend := range n.reach.elapsedBackoffs(n.now) {
+		n.setUnreachable(backend, false)
 	}
 }
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -17,8 +17,9 @@
 
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// newPlacing returns a node whose configuration has one service with n fixed backend servers.
-func newPlacing(t testing.TB, n, capacity int, customers ...config.Customer) *core.Node {
+// newPlacementNode returns a node whose configuration has one service with n fixed backend
+// servers.
+func newPlacementNode(t testing.TB, n, capacity int, customers ...config.Customer) *core.Node {
 	t.Helper()
 	service := config.Service{Name: "underwriting", Kind: config.Model, Capacity: capacity}
 	for i := range n {
@@ -38,18 +39,19 @@
 	return node
 }
 
-// arrive delivers a request to the node and returns the attempt or the refusal that results.
-func arrive(t testing.TB, node *core.Node, now time.Time, e core.RequestArrived) (*core.SendAttempt, *core.Finish) {
+// sendRequest delivers a request to the node and returns the attempt or the refusal that
+// results.
+func sendRequest(t testing.TB, node *core.Node, now time.Time, e core.RequestArrived) (*core.SendAttempt, *core.Finish) {
 	t.Helper()
 	if e.Customer == "" {
 		e.Customer = "branch-recife"
 	}
 	e.Service = "underwriting"
-	return placed(node.Handle(now, e))
+	return attemptOrFinish(node.Handle(now, e))
 }
 
-// placed returns the first attempt or refusal among the effects.
-func placed(effects []core.Effect) (*core.SendAttempt, *core.Finish) {
+// attemptOrFinish returns the first attempt or refusal among the effects.
+func attemptOrFinish(effects []core.Effect) (*core.SendAttempt, *core.Finish) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case core.SendAttempt:
@@ -65,8 +67,8 @@
 // configuration lacks. Followed blindly, they would displace other chats from that server or
 // send requests to an unknown address. A hint is only a preference: the named server gets no
 // more requests than the bound allows, and the unknown one gets none.
-func TestForgedHintBreaksNoBound(t *testing.T) {
-	node := newPlacing(t, 12, 64)
+func TestForgedHintsStayWithinLoadBound(t *testing.T) {
+	node := newPlacementNode(t, 12, 64)
 	forged := routing.NewHint(&routing.Candidate{Name: "engine-007"}, start).Encode()
 	unknown := routing.NewHint(&routing.Candidate{Name: "unknown"}, start).Encode()
 	stale := routing.NewHint(&routing.Candidate{Name: "engine-007", Incarnation: 9}, start).Encode()
@@ -74,11 +76,11 @@
 	hints := []string{forged, forged, forged, unknown, stale, "junk"}
 	for i := range 600 {
 		e := core.RequestArrived{Request: core.RequestID(fmt.Sprint(i)), Chat: fmt.Sprint(i), Hint: hints[i%len(hints)]}
-		attempt, _ := arrive(t, node, start, e)
+		attempt, _ := sendRequest(t, node, start, e)
 		require.NotNil(t, attempt)
 		require.NotEqual(t, "unknown", attempt.Backend)
 		loads[attempt.Backend]++
-		require.LessOrEqual(t, float64(loads[attempt.Backend]), routing.Limit(1.25, float64(i), 12))
+		require.LessOrEqual(t, float64(loads[attempt.Backend]), routing.Bound(1.25, float64(i), 12))
 	}
 	require.Greater(t, loads["engine-007"], 50, "the forged hints are followed up to the bound")
 }
@@ -87,34 +89,34 @@
 // from its top-ranked backend server. Without the hint, the ranking selects the top-ranked
 // server, which never received the chat. With the hint, the chat reaches the server that has
 // its prefix cached.
-func TestHintFindsTheBackendServerOfTheLastTurn(t *testing.T) {
-	node := newPlacing(t, 4, 64)
-	first, _ := arrive(t, node, start, core.RequestArrived{Request: "a", Chat: "dossier"})
-	second, _ := arrive(t, node, start, core.RequestArrived{Request: "b", Chat: "dossier"})
+func TestHintSelectsBackendServerOfLastTurn(t *testing.T) {
+	node := newPlacementNode(t, 4, 64)
+	first, _ := sendRequest(t, node, start, core.RequestArrived{Request: "a", Chat: "dossier"})
+	second, _ := sendRequest(t, node, start, core.RequestArrived{Request: "b", Chat: "dossier"})
 	require.NotEqual(t, first.Backend, second.Backend, "the bound at this load is one request")
 	for _, id := range []core.RequestID{"a", "b"} {
 		node.Handle(start.Add(time.Second), core.AttemptEnded{Request: id, Attempt: 1, Outcome: retry.Answered})
 	}
 	later := start.Add(time.Hour)
-	third, _ := arrive(t, node, later, core.RequestArrived{Request: "c", Chat: "dossier", Hint: second.Placement})
+	third, _ := sendRequest(t, node, later, core.RequestArrived{Request: "c", Chat: "dossier", Hint: second.Placement})
 	require.Equal(t, second.Backend, third.Backend)
 }
 
 // Guards against a failed connection on every turn that the ranking sends to a backend server
 // which refuses connections. After the first failure the instance skips the server, tries it
 // again after a backoff, and clears the failure on success.
-func TestUnreachableBackendServerIsPassedOver(t *testing.T) {
-	node := newPlacing(t, 4, 64)
-	attempt, _ := arrive(t, node, start, core.RequestArrived{Request: "a", Chat: "dossier"})
+func TestUnreachableBackendServerIsSkipped(t *testing.T) {
+	node := newPlacementNode(t, 4, 64)
+	attempt, _ := sendRequest(t, node, start, core.RequestArrived{Request: "a", Chat: "dossier"})
 	failed := attempt.Backend
-	retried, _ := placed(node.Handle(start, core.AttemptEnded{Request: "a", Attempt: 1, Outcome: retry.NotSent}))
+	retried, _ := attemptOrFinish(node.Handle(start, core.AttemptEnded{Request: "a", Attempt: 1, Outcome: retry.NotSent}))
 	require.NotNil(t, retried)
 	require.NotEqual(t, failed, retried.Backend)
 	node.Handle(start, core.AttemptEnded{Request: "a", Attempt: 2, Outcome: retry.Answered})
 
 	turn := func(id core.RequestID, at time.Time) string {
 		node.Handle(at, core.Ticked{})
-		a, _ := arrive(t, node, at, core.RequestArrived{Request: id, Chat: "dossier"})
+		a, _ := sendRequest(t, node, at, core.RequestArrived{Request: id, Chat: "dossier"})
 		return a.Backend
 	}
 	require.NotEqual(t, failed, turn("b", start.Add(100*time.Millisecond)))
@@ -130,16 +132,16 @@
 	for i := range 7 {
 		customers = append(customers, config.Customer{Name: fmt.Sprint("branch-", i)})
 	}
-	node := newPlacing(t, 3, 2, customers...)
+	node := newPlacementNode(t, 3, 2, customers...)
 	loads := make(map[string]int)
 	for i := range 6 {
 		id := core.RequestID(fmt.Sprint(i))
-		attempt, _ := arrive(t, node, start, core.RequestArrived{Request: id, Customer: customers[i].Name, Chat: string(id)})
+		attempt, _ := sendRequest(t, node, start, core.RequestArrived{Request: id, Customer: customers[i].Name, Chat: string(id)})
 		require.NotNil(t, attempt)
 		loads[attempt.Backend]++
 	}
 	require.Equal(t, map[string]int{"engine-000": 2, "engine-001": 2, "engine-002": 2}, loads)
-	attempt, refusal := arrive(t, node, start, core.RequestArrived{Request: "over", Customer: "branch-6", Chat: "over"})
+	attempt, refusal := sendRequest(t, node, start, core.RequestArrived{Request: "over", Customer: "branch-6", Chat: "over"})
 	require.Nil(t, attempt)
 	require.Equal(t, reason.Saturated, refusal.Reason)
 	require.Equal(t, reason.NotRun, refusal.Outcome)
@@ -148,7 +150,7 @@
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{12, 148, 890} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			node := newPlacing(b, n, 64)
+			node := newPlacementNode(b, n, 64)
 			b.ReportAllocs()
 			for i := range b.N {
 				chat := fmt.Sprint(i)
