--- a/internal/core/polls.go
+++ b/internal/core/polls.go
@@ -10,26 +10,26 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/rendezvous"
 )
 
-// reportOwners is the number of instances that poll a backend server for its report. With two,
+// pollOwners is the number of instances that poll a backend server for its report. With two,
 // a server is still polled when one of them is frozen.
-const reportOwners = 2
+const pollOwners = 2
 
-// minPollPause is the minimum interval at which an owner polls a server whose load it does not
+// minPollInterval is the minimum interval at which an owner polls a server whose load it does not
 // get otherwise. In a large zone the interval grows with the square root of the zone's size,
 // because the headers of more answers carry the same information at no cost.
-const minPollPause = 4 * time.Second
+const minPollInterval = 4 * time.Second
 
-// ownersEvery is the interval at which the owned backend servers are determined again even if
+// ownersInterval is the interval at which the owned backend servers are determined again even if
 // the list of instances is unchanged.
-const ownersEvery = 5 * time.Second
+const ownersInterval = 5 * time.Second
 
 // pollState schedules the polls of the backend servers that this instance owns.
 type pollState struct {
 	owned map[string]*poll
 	// nextOwners is the time when the owned servers are determined next.
 	nextOwners time.Time
-	// heard maps each backend server to the time of its last load report.
-	heard map[string]time.Time
+	// reportedAt maps each backend server to the time of its last load report.
+	reportedAt map[string]time.Time
 }
 
 type poll struct {
@@ -39,55 +39,55 @@
 
 func (n *Node) pollOwnersChanged() { n.polls.nextOwners = time.Time{} }
 
-// heardBackend records that a backend server's load was reported in an answer's headers or by a
-// peer, so that it need not be polled.
-func (n *Node) heardBackend(backend string) {
+// recordBackendReport records that a backend server's load was reported in an answer's headers
+// or by a peer, so that it need not be polled.
+func (n *Node) recordBackendReport(backend string) {
 	if backend != "" {
-		n.polls.heard[backend] = n.now
+		n.polls.reportedAt[backend] = n.now
 	}
 }
 
-// answerSaid applies the report in an answer's headers, if any. A report that peers may not
+// applyAnswerReport applies the report in an answer's headers, if any. A report that peers may not
 // know is sent to them: in a large fleet a single instance exchanges requests with a given
 // server only once in many seconds, but some instance of its zone does so at any moment.
-func (n *Node) answerSaid(report *membership.Report) {
+func (n *Node) applyAnswerReport(report *membership.Report) {
 	if report == nil {
 		return
 	}
-	n.heardBackend(report.Backend)
-	if n.settings.NoPolls && n.surprising(*report) {
-		n.tellReport(*report)
+	n.recordBackendReport(report.Backend)
+	if n.settings.NoPolls && n.unexpected(*report) {
+		n.queueReport(*report)
 	}
-	n.backendSaid(*report)
+	n.applyBackendReport(*report)
 }
 
-// pollEnded sends a poll's report to the peers if they may not know it. It must be called
+// forwardPollReport sends a poll's report to the peers if they may not know it. It must be called
 // before the report is applied.
-func (n *Node) pollEnded(e BackendReported) {
+func (n *Node) forwardPollReport(e BackendReported) {
 	backend := e.Report.Backend
 	if e.Failed || n.polls.owned[backend] == nil {
 		return
 	}
-	n.heardBackend(backend)
-	if n.surprising(e.Report) {
-		n.tellReport(e.Report)
+	n.recordBackendReport(backend)
+	if n.unexpected(e.Report) {
+		n.queueReport(e.Report)
 	}
 }
 
-// tellReport queues a report for the connected peers, in a large fleet only for those of this
+// queueReport queues a report for the connected peers, in a large fleet only for those of this
 // instance's zone. Peers do not forward reports, so only one instance of each other zone would
 // receive it, which is of little use.
-func (n *Node) tellReport(report membership.Report) {
+func (n *Node) queueReport(report membership.Report) {
 	for name, p := range n.peers.byName {
-		if p.connected && (!n.apart() || n.inOwnZone(name)) {
-			p.reports[report.Backend] = report
+		if p.connected && (!n.multiHop() || n.inOwnZone(name)) {
+			p.pendingReports[report.Backend] = report
 		}
 	}
 }
 
-// surprising reports whether a report differs from the expected load by more than a tenth, or
+// unexpected reports whether a report differs from the expected load by more than a tenth, or
 // shows that the server is not live.
-func (n *Node) surprising(r membership.Report) bool {
+func (n *Node) unexpected(r membership.Report) bool {
 	expected := n.load.Estimate(r.Backend)
 	return r.State != membership.Live || math.Abs(float64(r.InFlight)-expected) > max(1, expected/10)
 }
@@ -98,16 +98,16 @@
 		return
 	}
 	if !n.now.Before(n.polls.nextOwners) {
-		n.polls.nextOwners = n.now.Add(ownersEvery)
-		n.ownPolls()
+		n.polls.nextOwners = n.now.Add(ownersInterval)
+		n.assignPolls()
 	}
-	interval := n.pollPause()
+	interval := n.pollInterval()
 	for _, backend := range slices.Sorted(maps.Keys(n.polls.owned)) {
 		p := n.polls.owned[backend]
 		if n.now.Before(p.next) {
 			continue
 		}
-		if lastReport, ok := n.polls.heard[backend]; ok && n.now.Sub(lastReport) < interval {
+		if lastReport, ok := n.polls.reportedAt[backend]; ok && n.now.Sub(lastReport) < interval {
 			p.next = lastReport.Add(n.jitter(interval))
 			continue
 		}
@@ -116,13 +116,13 @@
 	}
 }
 
-func (n *Node) pollPause() time.Duration {
-	zone := len(n.zoneEntries(n.settings.Zone))
-	return max(minPollPause, time.Duration(math.Sqrt(float64(zone))*float64(time.Second)))
+func (n *Node) pollInterval() time.Duration {
+	zone := len(n.zoneInstances(n.settings.Zone))
+	return max(minPollInterval, time.Duration(math.Sqrt(float64(zone))*float64(time.Second)))
 }
 
-// zoneEntries returns the instances of a zone, or all instances if the zone has none.
-func (n *Node) zoneEntries(zone string) []string {
+// zoneInstances returns the instances of a zone, or all instances if the zone has none.
+func (n *Node) zoneInstances(zone string) []string {
 	var inZone, all []string
 	for _, m := range n.peers.members {
 		all = append(all, m.Name)
@@ -136,25 +136,25 @@
 	return inZone
 }
 
-// ownPolls determines which backend servers this instance polls. Each server has two owners
+// assignPolls determines which backend servers this instance polls. Each server has two owners
 // among the instances of its zone.
-func (n *Node) ownPolls() {
+func (n *Node) assignPolls() {
 	previous := n.polls.owned
 	n.polls.owned = make(map[string]*poll)
 	lastReports := make(map[string]time.Time)
 	zoneInstances := make(map[string][]string)
-	pause := n.pollPause()
+	pause := n.pollInterval()
 	for _, service := range slices.Sorted(maps.Keys(n.pools)) {
 		for _, c := range n.pools[service].candidates {
-			if at, ok := n.polls.heard[c.Name]; ok {
+			if at, ok := n.polls.reportedAt[c.Name]; ok {
 				lastReports[c.Name] = at
 			}
 			if zoneInstances[c.Zone] == nil {
-				zoneInstances[c.Zone] = n.zoneEntries(c.Zone)
+				zoneInstances[c.Zone] = n.zoneInstances(c.Zone)
 			}
 			instances := zoneInstances[c.Zone]
 			if !slices.Contains(instances, n.settings.Name) ||
-				!slices.Contains(rendezvous.Top(c.Hash, instances, reportOwners), n.settings.Name) {
+				!slices.Contains(rendezvous.Top(c.Hash, instances, pollOwners), n.settings.Name) {
 				continue
 			}
 			// The first poll is at a random point of the interval, so that instances that start
@@ -168,5 +168,5 @@
 		}
 	}
 	// Entries of backend servers that are gone are dropped here.
-	n.polls.heard = lastReports
+	n.polls.reportedAt = lastReports
 }
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -23,48 +23,50 @@
 	// all zones is outdated when the next request arrives. Relying on such reports made an
 	// instance refuse requests for seconds because the service had seemed full.
 	model bool
-	// total is the sum of the candidates' loads, unreachable ones included.
-	total float64
-	// unreachable is the number of unreachable candidates, and lost the sum of their loads.
-	unreachable int
-	lost        float64
-	budget      *retry.Budget
+	// totalLoad is the sum of the candidates' loads, unreachable ones included.
+	totalLoad float64
+	// unreachableCount is the number of unreachable candidates, and unreachableLoad the sum
+	// of their loads.
+	unreachableCount int
+	unreachableLoad  float64
+	budget           *retry.Budget
 	// leaving holds the backend servers that get no new requests but still have cached
 	// prompts.
 	leaving []routing.Candidate
 	// used reports whether a request was placed in this pool.
 	used bool
-	// joined holds the time at which each usable backend server joined the pool. It is zero
-	// for servers that were there before the first request was placed.
-	joined map[string]time.Time
+	// joinTimes holds the time at which each usable backend server joined the pool. It is
+	// zero for servers that were there before the first request was placed.
+	joinTimes map[string]time.Time
 }
 
 const (
 	// defaultRetryBurst is the number of retries that a service may spend at one instance
 	// before it earns any, if the configuration sets none.
 	defaultRetryBurst = 10
-	// burstPart is the fraction of the fleet's retry allowance that is divided among the
+	// burstFraction is the fraction of the fleet's retry allowance that is divided among the
 	// known instances. The rest is reserved for new instances, which do not know the size of
 	// the fleet yet.
-	burstPart = 0.8
-	// burstSpan is the period that the allowance covers.
-	burstSpan = 10 * time.Second
-	// leastFleet is the smallest number of instances among which the allowance is divided. An
-	// instance that knows no peers may not have discovered them yet.
-	leastFleet = 4
+	burstFraction = 0.8
+	// burstPeriod is the period that the allowance covers.
+	burstPeriod = 10 * time.Second
+	// burstMinInstances is the smallest number of instances among which the allowance is
+	// divided. An instance that knows no peers may not have discovered them yet.
+	burstMinInstances = 4
 )
 
 // resizeBudget sets this instance's part of a service's retry allowance. Half of the part may
-// be spent at once, and the other half is refilled over burstSpan. The burst is at least one
-// retry: in a large fleet half of a part is less than that, and no instance could ever retry.
+// be spent at once, and the other half is refilled over burstPeriod. The burst is at least
+// one retry: in a large fleet half of a part is less than that, and no instance could ever
+// retry.
 func (n *Node) resizeBudget(b *retry.Budget, svc *config.Service) {
 	if svc.RetryBurst == 0 {
 		b.Resize(svc.RetryShare, defaultRetryBurst, 0)
 		return
 	}
-	part := burstPart * svc.RetryBurst / float64(max(leastFleet, len(n.entries())))
+	part := burstFraction * svc.RetryBurst / float64(max(burstMinInstances, len(n.liveInstances())))
 	burst := max(1, part/2)
-	b.Resize(svc.RetryShare, burst, max(0, part-burst)/burstSpan.Seconds())
+	b.Resize(svc.RetryShare, burst, max(0, part-burst)/burstPeriod.Seconds())
 }
 
 // resizeBudgets adjusts the retry budgets of all services to the current size of the fleet.
@@ -89,13 +91,13 @@
 	return p
 }
 
-// reachable returns the total load and the number of the backend servers among which requests
-// are distributed: the reachable ones, or all if none is reachable.
-func (p *pool) reachable() (float64, int) {
-	if p.unreachable == len(p.candidates) {
-		return p.total, len(p.candidates)
+// reachableLoad returns the total load and the number of the backend servers among which
+// requests are distributed: the reachable ones, or all if none is reachable.
+func (p *pool) reachableLoad() (float64, int) {
+	if p.unreachableCount == len(p.candidates) {
+		return p.totalLoad, len(p.candidates)
 	}
-	return p.total - p.lost, len(p.candidates) - p.unreachable
+	return p.totalLoad - p.unreachableLoad, len(p.candidates) - p.unreachableCount
 }
 
 // capacity returns the total capacity of count backend servers of the pool, each taken at the
@@ -108,11 +110,11 @@
 	return sum * float64(count) / float64(max(1, len(p.candidates)))
 }
 
-// reachableNear returns the total load and the number of the reachable candidates in this
-// instance's zone.
-func (p *pool) reachableNear() (total float64, count int) {
+// reachableLoadInZone returns the total load and the number of the reachable candidates in
+// this instance's zone.
+func (p *pool) reachableLoadInZone() (total float64, count int) {
 	for i := range p.candidates {
-		if c := &p.candidates[i]; !c.Far && !c.Unreachable {
+		if c := &p.candidates[i]; !c.OtherZone && !c.Unreachable {
 			total += c.Load
 			count++
 		}
@@ -126,8 +128,8 @@
 	if n.snapshot == nil {
 		return
 	}
-	clear(n.poolOf)
-	n.hints.forget(n.snapshot)
+	clear(n.poolByBackend)
+	n.hints.prune(n.snapshot)
 	for _, name := range n.snapshot.Services() {
 		n.rebuildPool(name)
 	}
@@ -138,7 +140,7 @@
 	old := n.pool(name)
 	p := &pool{
 		index: make(map[string]int), model: svc.Kind == config.Model,
-		budget: old.budget, used: old.used, joined: make(map[string]time.Time),
+		budget: old.budget, used: old.used, joinTimes: make(map[string]time.Time),
 	}
 	if p.budget == nil {
 		p.budget = retry.NewBudget(svc.RetryShare, max(defaultRetryBurst, svc.RetryBurst))
@@ -149,12 +151,12 @@
 		c := &p.candidates[i]
 		p.index[c.Name] = i
 		c.Load = n.load.Estimate(c.Name)
-		p.total += c.Load
-		p.joined[c.Name] = old.joinedAt(c.Name, n.now)
+		p.totalLoad += c.Load
+		p.joinTimes[c.Name] = old.joinedAt(c.Name, n.now)
 		if n.reach.unreachable(c.Name, n.now) {
 			p.setUnreachable(c, true)
 		}
-		n.poolOf[c.Name] = p
+		n.poolByBackend[c.Name] = p
 	}
 	n.pools[name] = p
 }
@@ -164,7 +166,7 @@
 // because it takes over no sessions: either they have had no other engine, or this instance
 // has just started and knows of none.
 func (p *pool) joinedAt(name string, now time.Time) time.Time {
-	if at, ok := p.joined[name]; ok || !p.used {
+	if at, ok := p.joinTimes[name]; ok || !p.used {
 		return at
 	}
 	return now
@@ -177,17 +179,17 @@
 		in := n.view.Get(b.Name)
 		switch {
 		case in == nil:
-			list = append(list, n.candidate(svc, membership.Instance{Name: b.Name, Address: b.Address, Zone: b.Zone}))
+			list = append(list, n.candidate(svc, membership.Member{Name: b.Name, Address: b.Address, Zone: b.Zone}))
 		case in.State == membership.Live:
-			list = append(list, n.candidate(svc, membership.Instance{
+			list = append(list, n.candidate(svc, membership.Member{
 				Name: b.Name, Address: b.Address, Zone: b.Zone, Incarnation: in.Incarnation,
 			}))
 		}
 	}
 	if svc.FromPlatform {
-		n.view.EachOf(svc.Name, func(in *membership.Instance) {
+		n.view.EachOfService(svc.Name, func(in *membership.Member) {
 			switch {
-			case in.Role != membership.Backend:
+			case in.Role != membership.RoleBackend:
 			case in.State == membership.Live:
 				list = append(list, n.candidate(svc, *in))
 			case in.State == membership.Leaving:
@@ -201,30 +203,30 @@
 	return slices.CompactFunc(list, func(a, b routing.Candidate) bool { return a.Name == b.Name }), leaving
 }
 
-func (n *Node) candidate(svc *config.Service, in membership.Instance) routing.Candidate {
+func (n *Node) candidate(svc *config.Service, in membership.Member) routing.Candidate {
 	return routing.Candidate{
-		Name:        in.Name,
-		Address:     in.Address,
-		Zone:        in.Zone,
-		Incarnation: in.Incarnation,
-		Hash:        rendezvous.Hash(in.Name),
-		Capacity:    capacityOf(svc, in),
-		Slots:       float64(in.Slots),
-		Far:         in.Zone != n.settings.Zone,
-		Withheld:    1 - n.view.Share(in.Name, n.now),
+		Name:          in.Name,
+		Address:       in.Address,
+		Zone:          in.Zone,
+		Incarnation:   in.Incarnation,
+		Hash:          rendezvous.Hash(in.Name),
+		Capacity:      capacityOf(svc, in),
+		Slots:         float64(in.Slots),
+		OtherZone:     in.Zone != n.settings.Zone,
+		WithheldShare: 1 - n.view.LoadShare(in.Name, n.now),
 	}
 }
 
-// waitingPerSlot is the number of requests that may queue at a backend server for each that
-// it runs. With one, a request waits about as long as another one runs. With more, all queued
+// queuePerSlot is the number of requests that may queue at a backend server for each that it
+// runs. With one, a request waits about as long as another one runs. With more, all queued
 // requests would only finish late.
-const waitingPerSlot = 1
+const queuePerSlot = 1
 
 // capacityOf returns the load that a backend server must not exceed, computed from the slots
 // that it reports or else taken from the configuration.
-func capacityOf(svc *config.Service, in membership.Instance) float64 {
+func capacityOf(svc *config.Service, in membership.Member) float64 {
 	if in.Slots > 0 {
-		return float64(in.Slots * (1 + waitingPerSlot))
+		return float64(in.Slots * (1 + queuePerSlot))
 	}
 	return float64(svc.Capacity)
 }
--- a/internal/core/prefix/prefix.go
+++ b/internal/core/prefix/prefix.go
@@ -9,10 +9,10 @@
 import "time"
 
 const (
-	// Memory is the time for which a part is assumed to be cached after its last use. Engines
+	// TTL is the time for which a part is assumed to be cached after its last use. Engines
 	// keep parts until they need the space for others. A minute is far shorter than that, and
 	// longer than the pauses between uses that matter.
-	Memory = time.Minute
+	TTL = time.Minute
 	// MaxParts bounds the number of tracked parts, at about 150 bytes each.
 	MaxParts = 4096
 	// holders is the number of backend servers tracked per part. A popular part is in more
@@ -20,29 +20,29 @@
 	holders = 3
 )
 
-// Holders tracks the backend servers that hold each part.
-type Holders struct {
-	parts map[string]*part
-	sweep time.Time
+// Index tracks the backend servers that hold each part.
+type Index struct {
+	parts     map[string]*part
+	nextSweep time.Time
 }
 
 // part holds the backend servers that have a part in their caches.
 type part struct {
-	// by holds the backend servers, most recently used first.
-	by [holders]holding
+	// backends holds the backend servers, most recently used first.
+	backends [holders]holder
 }
 
-// holding is one backend server and the time of its last use of a part.
-type holding struct {
+// holder is one backend server and the time of its last use of a part.
+type holder struct {
 	backend string
 	at      time.Time
 }
 
 // New returns an empty index.
-func New() *Holders { return &Holders{parts: make(map[string]*part)} }
+func New() *Index { return &Index{parts: make(map[string]*part)} }
 
-// Used records that a backend server has processed a part or found it in its cache.
-func (x *Holders) Used(id, backend string, now time.Time) {
+// Record records that a backend server has processed a part or found it in its cache.
+func (x *Index) Record(id, backend string, now time.Time) {
 	x.expire(now)
 	p := x.parts[id]
 	if p == nil {
@@ -53,36 +53,36 @@
 		x.parts[id] = p
 	}
 	i := 0
-	for i < holders-1 && p.by[i].backend != backend {
+	for i < holders-1 && p.backends[i].backend != backend {
 		i++
 	}
-	copy(p.by[1:i+1], p.by[:i])
-	p.by[0] = holding{backend: backend, at: now}
+	copy(p.backends[1:i+1], p.backends[:i])
+	p.backends[0] = holder{backend: backend, at: now}
 }
 
 // Holds reports whether a backend server is assumed to have a part in its cache.
-func (x *Holders) Holds(id, backend string, now time.Time) bool {
+func (x *Index) Holds(id, backend string, now time.Time) bool {
 	p := x.parts[id]
 	if p == nil {
 		return false
 	}
-	for _, holder := range p.by {
+	for _, holder := range p.backends {
 		if holder.backend == backend {
-			return now.Sub(holder.at) <= Memory
+			return now.Sub(holder.at) <= TTL
 		}
 	}
 	return false
 }
 
-// Each calls f for the backend servers that hold a part, most recently used first, until f returns
-// false.
-func (x *Holders) Each(id string, now time.Time, f func(backend string) bool) {
+// EachHolder calls f for the backend servers that hold a part, most recently used first, until f
+// returns false.
+func (x *Index) EachHolder(id string, now time.Time, f func(backend string) bool) {
 	p := x.parts[id]
 	if p == nil {
 		return
 	}
-	for _, holder := range p.by {
-		if holder.backend == "" || now.Sub(holder.at) > Memory {
+	for _, holder := range p.backends {
+		if holder.backend == "" || now.Sub(holder.at) > TTL {
 			return
 		}
 		if !f(holder.backend) {
@@ -92,27 +92,27 @@
 }
 
 // Forget removes a backend server whose cache has been lost.
-func (x *Holders) Forget(backend string) {
+func (x *Index) Forget(backend string) {
 	for _, p := range x.parts {
 		kept := 0
-		for _, holder := range p.by {
+		for _, holder := range p.backends {
 			if holder.backend != backend {
-				p.by[kept] = holder
+				p.backends[kept] = holder
 				kept++
 			}
 		}
-		clear(p.by[kept:])
+		clear(p.backends[kept:])
 	}
 }
 
-// expire periodically removes the parts that were not used within Memory.
-func (x *Holders) expire(now time.Time) {
-	if now.Before(x.sweep) {
+// expire periodically removes the parts that were not used within TTL.
+func (x *Index) expire(now time.Time) {
+	if now.Before(x.nextSweep) {
 		return
 	}
-	x.sweep = now.Add(Memory / 4)
+	x.nextSweep = now.Add(TTL / 4)
 	for id, p := range x.parts {
-		if now.Sub(p.by[0].at) > Memory {
+		if now.Sub(p.backends[0].at) > TTL {
 			delete(x.parts, id)
 		}
 	}
--- a/internal/core/prefix/prefix_test.go
+++ b/internal/core/prefix/prefix_test.go
@@ -12,9 +12,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func holders(h *prefix.Holders, id string, now time.Time) []string {
+func holders(h *prefix.Index, id string, now time.Time) []string {
 	var list []string
-	h.Each(id, now, func(backend string) bool {
+	h.EachHolder(id, now, func(backend string) bool {
 		list = append(list, backend)
 		return true
 	})
@@ -22,10 +22,10 @@
 }
 
 // A part keeps only its most recent users, most recent first, so that popular parts stay small.
-func TestTheLastUsersAreRemembered(t *testing.T) {
+func TestMostRecentHoldersAreKept(t *testing.T) {
 	h := prefix.New()
 	for i, backend := range []string{"a", "b", "a", "c", "d"} {
-		h.Used("p", backend, start.Add(time.Duration(i)*time.Second))
+		h.Record("p", backend, start.Add(time.Duration(i)*time.Second))
 	}
 	now := start.Add(5 * time.Second)
 	require.Equal(t, []string{"d", "c", "a"}, holders(h, "p", now))
@@ -36,17 +36,17 @@
 	require.Equal(t, []string{"d", "a"}, holders(h, "p", now))
 }
 
-// Parts must expire after Memory and be limited to MaxParts, or the index would grow without bound.
-func TestPartsAreForgotten(t *testing.T) {
+// Parts must expire after TTL and be limited to MaxParts, or the index would grow without bound.
+func TestPartsExpireAndAreBounded(t *testing.T) {
 	h := prefix.New()
-	h.Used("p", "a", start)
-	expired := start.Add(prefix.Memory + time.Second)
+	h.Record("p", "a", start)
+	expired := start.Add(prefix.TTL + time.Second)
 	require.False(t, h.Holds("p", "a", expired))
 	require.Empty(t, holders(h, "p", expired))
 	for i := range 2 * prefix.MaxParts {
-		h.Used(fmt.Sprint(i), "a", start)
+		h.Record(fmt.Sprint(i), "a", start)
 	}
 	require.False(t, h.Holds(fmt.Sprint(2*prefix.MaxParts-1), "a", start), "over the bound")
-	h.Used("new", "a", expired)
+	h.Record("new", "a", expired)
 	require.True(t, h.Holds("new", "a", expired), "there is room once the other parts have expired")
 }
--- a/internal/core/reason/reason_test.go
+++ b/internal/core/reason/reason_test.go
@@ -15,14 +15,14 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// TestReasonsStandEverywhere compares the declared reasons with the list for the metrics
-// and with the table for operators.
-func TestReasonsStandEverywhere(t *testing.T) {
+// TestReasonsAreListedAndDocumented compares the declared reasons with the list for the
+// metrics and with the table for operators.
+func TestReasonsAreListedAndDocumented(t *testing.T) {
 	var all []string
 	for _, r := range reason.All {
 		all = append(all, string(r))
 	}
-	require.Equal(t, declared(t), all)
+	require.Equal(t, declaredReasons(t), all)
 
 	page, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -35,8 +35,9 @@
 	require.Equal(t, all, documented)
 }
 
-// declared returns the values of the constants of type Reason in the source, except None.
-func declared(t *testing.T) []string {
+// declaredReasons returns the values of the constants of type Reason in the source, except
+// None.
+func declaredReasons(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "reason.go", nil, 0)
 	require.NoError(t, err)
--- a/internal/core/registration.go
+++ b/internal/core/registration.go
@@ -13,19 +13,19 @@
 	// depend on it: peers detect a dead instance by its links. An instance that restarts
 	// within that time finds its entry and needs no new one.
 	registrationTTL = time.Minute
-	// registrationRenewal is the interval at which the lease is renewed. Three renewals in a
+	// registrationRenewInterval is the interval at which the lease is renewed. Three renewals in a
 	// row may fail.
-	registrationRenewal = registrationTTL / 4
+	registrationRenewInterval = registrationTTL / 4
 )
 
 // registrationState is this instance's lease and entry.
 type registrationState struct {
 	call OpID
-	// lease is 0 while there is none, and held is set once the entry is attached to it.
+	// lease is 0 while there is none, and attached is set once the entry is attached to it.
 	lease    uint64
-	held     bool
+	attached bool
 	failures int
-	next     time.Time
+	nextCall time.Time
 }
 
 // tickRegistration obtains the lease, writes the entry under it, and renews it. It waits for
@@ -33,11 +33,11 @@
 // peers cannot reach has no entry.
 func (n *Node) tickRegistration() {
 	s := &n.registration
-	if n.settings.PeerAddress == "" || s.call != 0 || n.now.Before(s.next) || !n.members.asked() {
+	if n.settings.PeerAddress == "" || s.call != 0 || n.now.Before(s.nextCall) || !n.members.readAttempted() {
 		return
 	}
 	s.call = n.nextOp()
-	if s.held {
+	if s.attached {
 		n.emit(RenewLease{Op: s.call, Lease: s.lease})
 		return
 	}
@@ -45,26 +45,26 @@
 }
 
 // ownEntry returns the entry that this instance writes to the store.
-func (n *Node) ownEntry() membership.Instance {
-	return membership.Instance{
-		Name: n.settings.Name, Role: membership.Entry, Zone: n.settings.Zone,
+func (n *Node) ownEntry() membership.Member {
+	return membership.Member{
+		Name: n.settings.Name, Role: membership.RoleInstance, Zone: n.settings.Zone,
 		Address: n.settings.PeerAddress, Incarnation: n.settings.Incarnation, State: membership.Live,
 	}
 }
 
-// findOwnEntry adopts the entry of an earlier process of the same name if it differs from
+// adoptOwnEntry adopts the entry of an earlier process of the same name if it differs from
 // this one's only by the incarnation. A renewal costs a tenth of a call, but a new lease and
 // entry cost two. The earlier incarnation in the entry does no harm, because peers learn the
 // new one over their links.
-func (n *Node) findOwnEntry(e InstancesListed) {
+func (n *Node) adoptOwnEntry(e InstancesListed) {
 	s := &n.registration
-	if s.held || s.call != 0 || e.OwnLease == 0 {
+	if s.attached || s.call != 0 || e.OwnLease == 0 {
 		return
 	}
 	for _, in := range e.Members {
 		in.Incarnation = n.settings.Incarnation
 		if in == n.ownEntry() {
-			s.lease, s.held = e.OwnLease, true
+			s.lease, s.attached = e.OwnLease, true
 		}
 	}
 }
@@ -80,14 +80,14 @@
 	switch e.Status {
 	case StoreOK:
 		s.failures = 0
-		s.lease, s.held = e.Lease, true
-		s.next = n.now.Add(n.jitter(registrationRenewal))
+		s.lease, s.attached = e.Lease, true
+		s.nextCall = n.now.Add(n.jitter(registrationRenewInterval))
 	case StoreAbsent:
-		s.lease, s.held = 0, false
+		s.lease, s.attached = 0, false
 	default:
 		s.failures++
 		// A lease that was granted is kept even if the entry was not written.
 		s.lease = max(s.lease, e.Lease)
-		s.next = n.now.Add(n.backOff(time.Second, registrationRenewal, s.failures))
+		s.nextCall = n.now.Add(n.backoffDelay(time.Second, registrationRenewInterval, s.failures))
 	}
 }
--- a/internal/core/registrations_test.go
+++ b/internal/core/registrations_test.go
@@ -9,29 +9,29 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// tenth is the price of a lease renewal or a stale read, in calls.
-const tenth = 0.1
+// tenthOfCall is the price of a lease renewal or a stale read, in calls.
+const tenthOfCall = 0.1
 
-// staleBy is the age of the data that a stale read returns.
-const staleBy = 700 * time.Millisecond
+// staleReadAge is the age of the data that a stale read returns.
+const staleReadAge = 700 * time.Millisecond
 
 // registration is an instance's entry in the fake store.
 type registration struct {
-	instance membership.Instance
+	instance membership.Member
 	lease    uint64
 	at       time.Time
 	ends     time.Time
 	ttl      time.Duration
 }
 
-func (s *fakeStore) listInstances(m *member, e core.ListInstances) {
+func (s *fakeStore) listInstances(m *fakeInstance, e core.ListInstances) {
 	f := s.fleet
-	reply := core.InstancesListed{Op: e.Op, Failed: f.listDown || f.cutOff(m), Members: f.list}
-	if f.registers {
-		reply.Failed = s.away(m)
+	reply := core.InstancesListed{Op: e.Op, Failed: f.listDown || f.platformCut(m), Members: f.list}
+	if f.selfRegister {
+		reply.Failed = s.unreachableFrom(m)
 		for _, name := range slices.Sorted(maps.Keys(s.registrations)) {
 			r := s.registrations[name]
-			if f.now.Sub(r.at) < staleBy || f.now.After(r.ends.Add(staleBy)) {
+			if f.now.Sub(r.at) < staleReadAge || f.now.After(r.ends.Add(staleReadAge)) {
 				continue
 			}
 			reply.Members = append(reply.Members, r.instance)
@@ -43,19 +43,19 @@
 	f.reply(m, 5*time.Millisecond, reply)
 }
 
-func (s *fakeStore) register(m *member, e core.Register) {
+func (s *fakeStore) register(m *fakeInstance, e core.Register) {
 	f := s.fleet
-	if s.away(m) {
+	if s.unreachableFrom(m) {
 		f.reply(m, storeTimeout, core.LeaseReplied{Op: e.Op, Status: core.StoreFailed, Lease: e.Lease})
 		return
 	}
-	f.price++
+	f.storeCost++
 	if e.Lease == 0 {
-		f.price++
+		f.storeCost++
 		s.lastLease++
 		e.Lease = s.lastLease
 	}
-	f.after(s.latency(), func() {
+	f.schedule(s.latency(), func() {
 		s.registrations[m.name] = registration{
 			instance: e.Instance, lease: e.Lease, at: f.now, ends: f.now.Add(e.TTL), ttl: e.TTL,
 		}
@@ -63,13 +63,13 @@
 	})
 }
 
-func (s *fakeStore) renew(m *member, e core.RenewLease) {
+func (s *fakeStore) renew(m *fakeInstance, e core.RenewLease) {
 	f := s.fleet
-	if s.away(m) {
+	if s.unreachableFrom(m) {
 		f.reply(m, storeTimeout, core.LeaseReplied{Op: e.Op, Status: core.StoreFailed, Lease: e.Lease})
 		return
 	}
-	f.after(s.latency(), func() {
+	f.schedule(s.latency(), func() {
 		r := s.registrations[m.name]
 		if r.lease != e.Lease || f.now.After(r.ends) {
 			f.reply(m, time.Millisecond, core.LeaseReplied{Op: e.Op, Status: core.StoreAbsent})
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -12,28 +12,30 @@
 // one sender. When each of a dozen peers sent all entries, those of a few servers that crashed
 // together used up the bytes for loads for many seconds.
 
-// entriesAskedFor is how long an instance waits for a peer's answer before it asks another peer
+// entriesRequestDelay is how long an instance waits for a peer's answer before it asks another peer
 // for the same entries.
-const entriesAskedFor = 300 * time.Millisecond
+const entriesRequestDelay = 300 * time.Millisecond
 
-// has returns the revision of the newest entry that this instance can send to peers.
-func (b *backendsState) has() uint64 { return min(b.newestEntry, b.upTo()) }
+// shareableRevision returns the revision of the newest entry that this instance can send to peers.
+func (b *backendsState) shareableRevision() uint64 {
+	return min(b.newestEntryRevision, b.settledRevision())
+}
 
-// upTo returns the revision up to which this instance has missed no change and no entry's
-// removal is pending. An entry whose lease may have lapsed only because of a store outage is
-// not sent as removed: the other instances did not see the outage and would stop using a server
-// that is about to reappear.
-func (b *backendsState) upTo() uint64 {
-	upTo := b.complete
+// settledRevision returns the revision up to which this instance has missed no change and no
+// entry's removal is pending. An entry whose lease may have lapsed only because of a store
+// outage is not sent as removed: the other instances did not see the outage and would stop
+// using a server that is about to reappear.
+func (b *backendsState) settledRevision() uint64 {
+	upTo := b.completeRevision
 	for name := range b.lapsed {
 		upTo = min(upTo, b.entries[name].Revision-1)
 	}
 	return upTo
 }
 
-// after returns the changes with revisions above the given one, up to upTo, in the order of their
-// revisions.
-func (b *backendsState) after(revision, upTo uint64) []BackendEntry {
+// changesBetween returns the changes with revisions above the given one, up to upTo, in the
+// order of their revisions.
+func (b *backendsState) changesBetween(revision, upTo uint64) []BackendEntry {
 	var list []BackendEntry
 	for _, e := range b.entries {
 		// An instance without any entries does not need the removals.
@@ -47,32 +49,32 @@
 	return list
 }
 
-// peerEntries requests the missing entries from a peer whose digest shows that it is ahead. It
-// also records when a peer got ahead.
-func (n *Node) peerEntries(from string, d *Digest) {
-	if d.EntriesUpTo > n.backends.has() && n.peers.wantedEntries.due(d.EntriesUpTo, n.now) {
-		n.emit(SendPeer{To: from, Message: PeerMessage{EntriesWanted: &EntriesWanted{Above: n.backends.complete}}})
+// requestMissingEntries requests the missing entries from a peer whose digest shows that it is
+// ahead. It also records when a peer got ahead.
+func (n *Node) requestMissingEntries(from string, d *Digest) {
+	if d.EntriesUpTo > n.backends.shareableRevision() && n.peers.entryRequests.due(d.EntriesUpTo, n.now) {
+		n.emit(SendPeer{To: from, Message: PeerMessage{EntriesWanted: &EntriesWanted{Above: n.backends.completeRevision}}})
 	}
-	n.compareWithPeer(d)
+	n.recordPeerAhead(d)
 }
 
-// peerWantsEntries answers a peer's request for entries.
-func (n *Node) peerWantsEntries(from string, wanted *EntriesWanted) {
-	upTo := n.backends.upTo()
+// sendEntries answers a peer's request for entries.
+func (n *Node) sendEntries(from string, wanted *EntriesWanted) {
+	upTo := n.backends.settledRevision()
 	if upTo <= wanted.Above {
 		return
 	}
-	offer := &EntriesOffer{From: wanted.Above, To: upTo, Entries: n.backends.after(wanted.Above, upTo)}
+	offer := &EntriesOffer{From: wanted.Above, To: upTo, Entries: n.backends.changesBetween(wanted.Above, upTo)}
 	n.emit(SendPeer{To: from, Message: PeerMessage{EntriesOffer: offer}})
 }
 
-// peerOffersEntries applies the entries from a peer. The offer is complete between its two
+// applyEntriesOffer applies the entries from a peer. The offer is complete between its two
 // revisions, so it extends the range in which this instance has missed no change, whatever
 // messages were lost before.
-func (n *Node) peerOffersEntries(o *EntriesOffer) {
-	n.takeEntries(o.Entries)
-	if o.From <= n.backends.complete {
-		n.backends.complete = max(n.backends.complete, o.To)
+func (n *Node) applyEntriesOffer(o *EntriesOffer) {
+	n.mergeEntries(o.Entries)
+	if o.From <= n.backends.completeRevision {
+		n.backends.completeRevision = max(n.backends.completeRevision, o.To)
 	}
 }
 
--- a/internal/core/relay_test.go
+++ b/internal/core/relay_test.go
@@ -19,8 +19,8 @@
   "customers": [{"name": "branch"}],
 }`
 
-// newEntries starts a fleet of instances and a number of engines with entries.
-func newEntries(seed uint64, instances, zones, engines int) *fleet {
+// newFleetWithEntries starts a fleet of instances and a number of engines with entries.
+func newFleetWithEntries(seed uint64, instances, zones, engines int) *fleet {
 	f := newFleet(seed, instances, zones, entriesText)
 	for i := range engines {
 		f.store.putEntry(fmt.Sprintf("engine-%d", i), engineEntry(i, membership.Live))
@@ -29,15 +29,15 @@
 	return f
 }
 
-func engineEntry(i int, state membership.State) *membership.Instance {
-	return &membership.Instance{
-		Name: fmt.Sprintf("engine-%d", i), Role: membership.Backend, Service: "engines",
+func engineEntry(i int, state membership.State) *membership.Member {
+	return &membership.Member{
+		Name: fmt.Sprintf("engine-%d", i), Role: membership.RoleBackend, Service: "engines",
 		Zone: fmt.Sprintf("zone-%d", i%3), Address: "127.0.0.1:9", Slots: 64, Incarnation: 1, State: state,
 	}
 }
 
-// usable returns the number of engines that the instance considers live.
-func (m *member) usable() int {
+// usableEngines returns the number of engines that the instance considers live.
+func (m *fakeInstance) usableEngines() int {
 	status := m.node.Status()
 	if len(status.Services) == 0 {
 		return 0
@@ -51,13 +51,13 @@
 	return live
 }
 
-// heardBy returns the time until every selected instance uses the given number of engines.
-func (f *fleet) heardBy(t *testing.T, engines int, selected func(*member) bool) time.Duration {
+// timeUntilUsed returns the time until every selected instance uses the given number of engines.
+func (f *fleet) timeUntilUsed(t *testing.T, engines int, selected func(*fakeInstance) bool) time.Duration {
 	t.Helper()
 	for elapsed := time.Duration(0); elapsed < time.Minute; elapsed += 50 * time.Millisecond {
 		all := true
-		for _, m := range f.members {
-			all = all && (m.dead || !selected(m) || m.usable() == engines)
+		for _, m := range f.instances {
+			all = all && (m.dead || !selected(m) || m.usableEngines() == engines)
 		}
 		if all {
 			return elapsed
@@ -68,22 +68,22 @@
 	return 0
 }
 
-func everyone(*member) bool { return true }
+func everyMember(*fakeInstance) bool { return true }
 
 // An engine leaves. Only the followers watch the store, and all other instances must stop using
 // the engine as quickly: within the two seconds that the operators allow, with a call or two
 // per change instead of one per instance.
-func TestAFewFollowTheStoreForAll(t *testing.T) {
+func TestFollowersDistributeStoreChanges(t *testing.T) {
 	for _, size := range []struct{ instances, zones, calls int }{{8, 3, 40}, {48, 3, 40}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
-			f := newEntries(1, size.instances, size.zones, 12)
-			require.Zero(t, f.heardBy(t, 12, everyone))
+			f := newFleetWithEntries(1, size.instances, size.zones, 12)
+			require.Zero(t, f.timeUntilUsed(t, 12, everyMember))
 			before := f.calls["watch-backends"] + f.calls["list-backends"]
 			f.store.putEntry("engine-3", engineEntry(3, membership.Leaving))
-			took := f.heardBy(t, 11, everyone)
+			took := f.timeUntilUsed(t, 11, everyMember)
 			require.Less(t, took, 500*time.Millisecond)
 			f.store.putEntry("engine-4", nil)
-			require.Less(t, f.heardBy(t, 10, everyone), 500*time.Millisecond)
+			require.Less(t, f.timeUntilUsed(t, 10, everyMember), 500*time.Millisecond)
 			f.run(10 * time.Second)
 			calls := f.calls["watch-backends"] + f.calls["list-backends"] - before
 			t.Logf("%d instances: all updated after %v; %d calls in ten seconds", size.instances, took, calls)
@@ -94,25 +94,25 @@
 
 // Five of eight instances in two zones are cut off from the store. They must learn of a change
 // from the instances that still reach it.
-func TestOthersFollowWhenTheFollowersCannot(t *testing.T) {
-	f := newEntries(2, 8, 2, 12)
+func TestCutOffInstancesGetChangesFromPeers(t *testing.T) {
+	f := newFleetWithEntries(2, 8, 2, 12)
 	cut := map[string]bool{"entry-0": true, "entry-1": true, "entry-2": true, "entry-3": true, "entry-4": true}
-	f.cutOff = func(m *member) bool { return cut[m.name] }
+	f.platformCut = func(m *fakeInstance) bool { return cut[m.name] }
 	f.run(4 * time.Second)
 	f.store.putEntry("engine-3", engineEntry(3, membership.Leaving))
-	require.Less(t, f.heardBy(t, 11, everyone), time.Second, "includes the instances that are cut off")
+	require.Less(t, f.timeUntilUsed(t, 11, everyMember), time.Second, "includes the instances that are cut off")
 }
 
 // An instance restarts while the store is down. It must learn every engine from a peer.
-func TestANewcomerLearnsTheEntriesFromAPeer(t *testing.T) {
-	f := newEntries(3, 8, 2, 100)
+func TestRestartedInstanceLearnsEntriesFromPeer(t *testing.T) {
+	f := newFleetWithEntries(3, 8, 2, 100)
 	f.store.down = true
-	f.boot(f.members[0], entriesText)
-	require.Less(t, f.heardBy(t, 100, everyone), 15*time.Second)
+	f.boot(f.instances[0], entriesText)
+	require.Less(t, f.timeUntilUsed(t, 100, everyMember), 15*time.Second)
 }
 
 // putEntry sets a backend server's entry, or removes it if in is nil.
-func (s *fakeStore) putEntry(name string, in *membership.Instance) {
+func (s *fakeStore) putEntry(name string, in *membership.Member) {
 	s.entries = append(s.entries, core.BackendEntry{Name: name, Revision: uint64(len(s.entries) + 1), Backend: in})
 	watchers := s.watchers
 	s.watchers = nil
@@ -121,8 +121,8 @@
 	}
 }
 
-func (s *fakeStore) listBackends(m *member, e core.ListBackends) {
-	if s.away(m) {
+func (s *fakeStore) listBackends(m *fakeInstance, e core.ListBackends) {
+	if s.unreachableFrom(m) {
 		s.fleet.reply(m, storeTimeout, core.BackendsRead{Op: e.Op, Status: core.StoreFailed})
 		return
 	}
@@ -139,8 +139,8 @@
 	s.fleet.reply(m, s.latency(), read)
 }
 
-func (s *fakeStore) watchBackends(m *member, e core.WatchBackends) {
-	if s.away(m) {
+func (s *fakeStore) watchBackends(m *fakeInstance, e core.WatchBackends) {
+	if s.unreachableFrom(m) {
 		s.fleet.reply(m, storeTimeout, core.BackendsRead{Op: e.Op, Status: core.StoreFailed})
 		return
 	}
@@ -156,7 +156,7 @@
 				read.Entries = append(read.Entries, entry)
 			}
 		}
-		if s.away(m) {
+		if s.unreachableFrom(m) {
 			read = core.BackendsRead{Op: e.Op, Status: core.StoreUnknown}
 		}
 		s.fleet.reply(m, s.latency(), read)
@@ -166,5 +166,5 @@
 		return
 	}
 	s.watchers = append(s.watchers, answer)
-	s.fleet.after(3*time.Second, answer)
+	s.fleet.schedule(3*time.Second, answer)
 }
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -9,8 +9,8 @@
 // rankings differ.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// HashOf returns the hash of a key of two parts without concatenating them.
-func HashOf(first, second string) uint64 {
+// HashPair returns the hash of a key of two parts without concatenating them.
+func HashPair(first, second string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(first)
@@ -41,28 +41,28 @@
 	for _, name := range names {
 		score := Score(key, Hash(name))
 		i := len(top)
-		for i > 0 && above(score, name, scores[i-1], top[i-1]) {
+		for i > 0 && ranksAbove(score, name, scores[i-1], top[i-1]) {
 			i--
 		}
 		if i >= k {
 			continue
 		}
-		top = insert(top, i, name, k)
-		scores = insert(scores, i, score, k)
+		top = insertAt(top, i, name, k)
+		scores = insertAt(scores, i, score, k)
 	}
 	return top
 }
 
-// above reports whether a name ranks above another.
-func above(score uint64, name string, otherScore uint64, other string) bool {
+// ranksAbove reports whether a name ranks ranksAbove another.
+func ranksAbove(score uint64, name string, otherScore uint64, other string) bool {
 	if score != otherScore {
 		return score > otherScore
 	}
 	return name < other
 }
 
-// insert inserts v at index i and truncates the list to k elements.
-func insert[T any](list []T, i int, v T, k int) []T {
+// insertAt inserts v at index i and truncates the list to k elements.
+func insertAt[T any](list []T, i int, v T, k int) []T {
 	list = append(list, v)
 	copy(list[i+1:], list[i:])
 	list[i] = v
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -10,38 +10,38 @@
 const (
 	// defaultRetryAfter is the Retry-After delay if no better one is known.
 	defaultRetryAfter = time.Second
-	// leastRetryAfter is the minimum delay. An earlier retry would find the service
+	// minRetryAfter is the minimum delay. An earlier retry would find the service
 	// unchanged.
-	leastRetryAfter = 50 * time.Millisecond
-	// elsewhereAfter is the delay if another instance can serve the request at once.
-	elsewhereAfter = 50 * time.Millisecond
-	// startingAfter is the delay while an instance that has just started is reading its
+	minRetryAfter = 50 * time.Millisecond
+	// stoppingRetryAfter is the delay if another instance can serve the request at once.
+	stoppingRetryAfter = 50 * time.Millisecond
+	// startingRetryAfter is the delay while an instance that has just started is reading its
 	// configuration and backend servers.
-	startingAfter = 200 * time.Millisecond
+	startingRetryAfter = 200 * time.Millisecond
 )
 
-// soonest returns the minimum Retry-After delay for a service without free
+// saturatedRetryAfter returns the minimum Retry-After delay for a service without free
 // capacity: half of the route's latency goal, within a lower and an upper bound. A service
 // is full for about as long as its requests take. A retry after half of the goal can still
 // meet it; after a whole second there is often no time left.
-func (t target) soonest() time.Duration {
+func (t target) saturatedRetryAfter() time.Duration {
 	if t.route == nil || t.route.Goal == 0 {
 		return defaultRetryAfter
 	}
-	return min(max(leastRetryAfter, time.Duration(t.route.Goal)/2), defaultRetryAfter)
+	return min(max(minRetryAfter, time.Duration(t.route.Goal)/2), defaultRetryAfter)
 }
 
-// comeBackAfter returns the Retry-After delay for a request refused with reason why.
-func (n *Node) comeBackAfter(t target, why reason.Reason) time.Duration {
+// retryAfterFor returns the Retry-After delay for a request refused with reason why.
+func (n *Node) retryAfterFor(t target, why reason.Reason) time.Duration {
 	switch {
 	case why == reason.Saturated, why == reason.BackendRefused, why == reason.RetryBudget:
-		return n.spread(t.soonest())
+		return n.spreadDelay(t.saturatedRetryAfter())
 	case why == reason.Stopping:
-		return elsewhereAfter
+		return stoppingRetryAfter
 	case why == reason.NoConfiguration && n.configs.failures == 0:
-		return startingAfter
-	case why == reason.NoBackend && n.readsFirstBackends():
-		return startingAfter
+		return startingRetryAfter
+	case why == reason.NoBackend && n.readingFirstBackends():
+		return startingRetryAfter
 	default:
 		return defaultRetryAfter
 	}
@@ -70,37 +70,37 @@
 	retryAfter time.Duration
 	// tried are the backend servers of earlier failed attempts.
 	tried []string
-	// failureHeld is set once the proxy holds a complete failure response of a
+	// hasFailureResponse is set once the proxy holds a complete failure response of a
 	// backend server. The caller gets it if no later attempt succeeds.
-	failureHeld bool
-	// judged is set once the attempt in progress was counted as a success or a
+	hasFailureResponse bool
+	// outcomeCounted is set once the attempt in progress was counted as a success or a
 	// failure of its server.
-	judged bool
+	outcomeCounted bool
 	// mayHaveRun is set once an attempt ended without certainty that the backend server
 	// did not start the request. From then on the outcome must not be not-run.
 	mayHaveRun bool
-	// started is set once the first byte of a response was sent to the caller.
-	started bool
+	// responseStarted is set once the first byte of a response was sent to the caller.
+	responseStarted bool
 	// claimed is set once the claim on the request's idempotency key was granted.
 	claimed bool
 	// claimToken and claimExpires are the token and the expiry time of the claim.
 	claimToken   uint64
 	claimExpires uint32
-	// gone is set once the caller has disconnected.
-	gone bool
+	// callerGone is set once the caller has disconnected.
+	callerGone bool
 	// ended is set once the request has ended.
-	ended bool
-	due   []*due
+	ended  bool
+	timers []*requestTimer
 }
 
 func (n *Node) requestArrived(e RequestArrived) {
 	if !n.waitForStart(e) {
-		n.takeRequest(e, n.now)
+		n.startRequest(e, n.now)
 	}
 }
 
-// takeRequest admits a request that arrived at time at and starts it, or refuses it.
-func (n *Node) takeRequest(e RequestArrived, at time.Time) {
+// startRequest admits a request that arrived at time at and starts it, or refuses it.
+func (n *Node) startRequest(e RequestArrived, at time.Time) {
 	t, unknown := n.resolve(&e)
 	if unknown != reason.None {
 		n.refuse(e, t, unknown)
@@ -112,7 +112,7 @@
 	case !n.now.Before(r.deadline):
 		n.refuse(e, t, reason.DeadlineExceeded)
 		return
-	case n.tooLateFor(r.deadline):
+	case n.exceedsStopGrace(r.deadline):
 		n.refuse(e, t, reason.Stopping)
 		return
 	case !n.dependenciesUsable(t.service):
@@ -120,7 +120,7 @@
 		return
 	}
 	if refused := n.admit(r); refused != nil {
-		n.refuseLater(e, t, refused)
+		n.refuseWith(e, t, refused)
 		return
 	}
 	n.requests[e.Request] = r
@@ -132,7 +132,7 @@
 	}
 	n.schedule(r.deadline, r, (*Node).deadlinePassed)
 	if r.needsClaim() {
-		n.claim(r)
+		n.recordClaim(r)
 		return
 	}
 	n.startAttempt(r, reason.None)
@@ -207,7 +207,7 @@
 // release removes an ended request from the node's state.
 func (n *Node) release(r *request) {
 	r.ended = true
-	n.unschedule(r)
+	n.cancelTimers(r)
 	delete(n.requests, r.arrived.Request)
 	n.admissionEnded(r)
 }
@@ -215,22 +215,22 @@
 // refuse ends a request before its first attempt.
 func (n *Node) refuse(e RequestArrived, t target, why reason.Reason) {
 	if why == reason.NoConfiguration || why == reason.NoBackend {
-		n.callerLacks()
+		n.recordWaitingCaller()
 	}
-	n.refuseLater(e, t, &refusal{why: why, retryAfter: n.comeBackAfter(t, why)})
+	n.refuseWith(e, t, &refusal{reason: why, retryAfter: n.retryAfterFor(t, why)})
 }
 
-func (n *Node) refuseLater(e RequestArrived, t target, r *refusal) {
+func (n *Node) refuseWith(e RequestArrived, t target, r *refusal) {
 	finish := Finish{
 		Request:    e.Request,
 		Customer:   e.Customer,
 		Outcome:    reason.NotRun,
-		Reason:     r.why,
+		Reason:     r.reason,
 		RetryAfter: r.retryAfter,
 	}
 	if t.service != nil {
 		finish.Service = t.service.Name
-		finish.Fill = n.fill(t.service.Name, r.why)
+		finish.Utilization = n.fill(t.service.Name, r.reason)
 	}
 	n.emit(finish)
 }
@@ -238,14 +238,14 @@
 // callerGone cancels the request of a caller that disconnected. An attempt in progress
 // still reports its outcome, which shows whether the request may have run.
 func (n *Node) callerGone(e CallerGone) {
-	if n.startWaiterGone(e.Request) {
+	if n.cancelStartWaiter(e.Request) {
 		return
 	}
 	r := n.requests[e.Request]
-	if r == nil || r.gone {
+	if r == nil || r.callerGone {
 		return
 	}
-	r.gone = true
+	r.callerGone = true
 	if !r.running {
 		n.giveUp(r, reason.CallerGone)
 		return
--- a/internal/core/requests_property_test.go
+++ b/internal/core/requests_property_test.go
@@ -17,7 +17,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-const propertyText = `{"services":[{"name":"notes","kind":"plain","max_attempts":3,"deadline":"10s","capacity":4,
+const propertyConfig = `{"services":[{"name":"notes","kind":"plain","max_attempts":3,"deadline":"10s","capacity":4,
 "backend_servers":[{"name":"a","address":"10.0.0.1:1","zone":"z"},{"name":"b","address":"10.0.0.2:1","zone":"z"}%s]}],
 "customers":[{"name":"c"}],"claims":{"window":"1h"}}`
 
@@ -31,15 +31,15 @@
 
 func (a sentAttempt) mayHaveRun() bool { return a.outcome == "" || a.outcome.MayHaveRun() }
 
-// watched is the test's record of one request.
-type watched struct {
+// trackedRequest is the test's record of one request.
+type trackedRequest struct {
 	arrived  core.RequestArrived
 	attempts []sentAttempt
 	started  bool
 	ends     int
 }
 
-func (r *watched) mayHaveRun() bool {
+func (r *trackedRequest) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
 			return true
@@ -50,14 +50,14 @@
 
 // schedule drives a node through a random sequence of events and checks each effect.
 type schedule struct {
-	t        *rapid.T
-	node     *core.Node
-	now      time.Time
-	requests []*watched
-	byID     map[core.RequestID]*watched
-	store    *claimStore
-	stopped  bool
-	config   uint64
+	t          *rapid.T
+	node       *core.Node
+	now        time.Time
+	requests   []*trackedRequest
+	byID       map[core.RequestID]*trackedRequest
+	store      *fakeClaimStore
+	stopped    bool
+	generation uint64
 }
 
 // A caller that is told not-run sends a non-idempotent request again. If an attempt of the
@@ -66,7 +66,7 @@
 // and a stop in any order. The outcome is not-run only if no attempt may have run, a
 // non-idempotent request has at most one attempt that may have run, and each request gets
 // exactly one final answer.
-func TestRefusalsAreTrue(t *testing.T) {
+func TestNotRunOnlyIfNoAttemptMayHaveRun(t *testing.T) {
 	// One check plays 100 schedules. A claim released too early was found only in the
 	// 309th schedule, so 20 checks run.
 	for range 20 {
@@ -79,8 +79,8 @@
 		t:     t,
 		node:  core.New(core.Settings{Name: "entry-1", Zone: "z", Seed: rapid.Uint64().Draw(t, "seed"), AcceptDelay: time.Second}),
 		now:   time.Unix(1_000_000, 0).UTC(),
-		byID:  make(map[core.RequestID]*watched),
-		store: &claimStore{values: make(map[string]storeValue)},
+		byID:  make(map[core.RequestID]*trackedRequest),
+		store: &fakeClaimStore{values: make(map[string]storeValue)},
 	}
 	s.offerConfig(t)
 	t.Repeat(map[string]func(*rapid.T){
@@ -97,7 +97,7 @@
 }
 
 func (s *schedule) arrive(t *rapid.T) {
-	r := &watched{arrived: core.RequestArrived{
+	r := &trackedRequest{arrived: core.RequestArrived{
 		Request:       core.RequestID(fmt.Sprintf("r%d", len(s.requests)+1)),
 		Customer:      "c",
 		Service:       "notes",
@@ -113,7 +113,7 @@
 }
 
 // pick draws a request and the number of one of its attempts, including earlier ones.
-func (s *schedule) pick(t *rapid.T) (*watched, int) {
+func (s *schedule) pick(t *rapid.T) (*trackedRequest, int) {
 	if len(s.requests) == 0 {
 		s.arrive(t)
 	}
@@ -159,8 +159,8 @@
 	s.handle(core.Ticked{})
 }
 
-// readOnly is the version that marks a read among the store's calls. No swap uses it.
-const readOnly = math.MaxUint64
+// readVersion is the version that marks a read among the store's calls. No swap uses it.
+const readVersion = math.MaxUint64
 
 // storeValue is the value of one key of the platform's store.
 type storeValue struct {
@@ -168,9 +168,9 @@
 	value   []byte
 }
 
-// claimStore is a fake of the platform's store. It answers calls in any order. A
+// fakeClaimStore is a fake of the platform's store. It answers calls in any order. A
 // write may be lost, or take effect while its reply is lost.
-type claimStore struct {
+type fakeClaimStore struct {
 	values map[string]storeValue
 	calls  []core.StoreSwap
 }
@@ -196,12 +196,12 @@
 	s.handle(reply)
 }
 
-func (st *claimStore) serve(call core.StoreSwap) core.StoreReplied {
+func (st *fakeClaimStore) serve(call core.StoreSwap) core.StoreReplied {
 	old, exists := st.values[call.Key]
 	switch {
-	case call.Version == readOnly && !exists:
+	case call.Version == readVersion && !exists:
 		return core.StoreReplied{Op: call.Op, Status: core.StoreAbsent}
-	case call.Version == readOnly:
+	case call.Version == readVersion:
 		return core.StoreReplied{Op: call.Op, Status: core.StoreOK, Version: old.version, Value: old.value}
 	case call.Version != old.version:
 		return core.StoreReplied{Op: call.Op, Status: core.StoreConflict}
@@ -215,8 +215,8 @@
 	if rapid.Bool().Draw(t, "third server") {
 		third = `,{"name":"c","address":"10.0.0.3:1","zone":"z"}`
 	}
-	s.config++
-	s.handle(core.ConfigOffered{Envelope: config.Envelope{Generation: s.config, Text: fmt.Sprintf(propertyText, third)}})
+	s.generation++
+	s.handle(core.ConfigOffered{Envelope: config.Envelope{Generation: s.generation, Text: fmt.Sprintf(propertyConfig, third)}})
 }
 
 // finishAll advances the time past all deadlines and checks that each request got exactly
@@ -245,7 +245,7 @@
 		case core.Finish:
 			s.checkFinish(s.byID[e.Request], e)
 		case core.StoreGet:
-			s.store.calls = append(s.store.calls, core.StoreSwap{Op: e.Op, Key: e.Key, Version: readOnly})
+			s.store.calls = append(s.store.calls, core.StoreSwap{Op: e.Op, Key: e.Key, Version: readVersion})
 		case core.StoreSwap:
 			s.store.calls = append(s.store.calls, e)
 		case core.Stopped:
@@ -254,7 +254,7 @@
 	}
 }
 
-func (s *schedule) checkSend(r *watched, e core.SendAttempt) {
+func (s *schedule) checkSend(r *trackedRequest, e core.SendAttempt) {
 	resume := e.ResumeAfter != ""
 	switch last := len(r.attempts); {
 	case r.ends > 0:
@@ -275,7 +275,7 @@
 
 // keyMayHaveRun reports whether the request, or another non-idempotent one with its key,
 // may have run.
-func (s *schedule) keyMayHaveRun(r *watched) bool {
+func (s *schedule) keyMayHaveRun(r *trackedRequest) bool {
 	if r.mayHaveRun() {
 		return true
 	}
@@ -287,7 +287,7 @@
 	return false
 }
 
-func (s *schedule) checkFinish(r *watched, e core.Finish) {
+func (s *schedule) checkFinish(r *trackedRequest, e core.Finish) {
 	r.ends++
 	if r.ends > 1 {
 		s.t.Fatalf("%s: second final answer", e.Request)
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -22,20 +22,20 @@
 	// resumable is set if a stream may continue on another backend server.
 	resumable bool
 	// maxRuns is the maximum number of attempts in which a backend server may start the
-	// request, and maxSends the maximum number of all attempts.
-	maxRuns, maxSends int
+	// request, and maxAttempts the maximum number of all attempts.
+	maxRuns, maxAttempts int
 	// priority is the request's priority; 0 is the highest.
 	priority int
 }
 
-// spareSends is the number of attempts beyond maxRuns for a request on a route, used
+// extraAttempts is the number of attempts beyond maxRuns for a request on a route, used
 // when backend servers refuse it or are unreachable. With 3, a request tries four servers
 // of a pool; if a third of the pool is down, one request in eighty is refused.
-const spareSends = 3
+const extraAttempts = 3
 
-// anonymous is the customer of requests without a known API key, where no key is
+// anonymousCustomer is the customer of requests without a known API key, where no key is
 // required.
-var anonymous = &config.Customer{Weight: config.DefaultWeight}
+var anonymousCustomer = &config.Customer{Weight: config.DefaultWeight}
 
 // resolve looks up the request's service, customer and route in the configuration. It
 // returns the reason for a refusal if there is no match or a size limit is exceeded.
@@ -45,7 +45,7 @@
 	}
 	t, unknown := n.resolveTarget(e)
 	if unknown == reason.None {
-		unknown = overLimit(e, n.snapshot.Limits)
+		unknown = exceededLimit(e, n.snapshot.Limits)
 	}
 	return t, unknown
 }
@@ -57,9 +57,9 @@
 	return n.resolveNamed(e)
 }
 
-// overLimit returns the reason for a refusal if the request exceeds a size limit. It
+// exceededLimit returns the reason for a refusal if the request exceeds a size limit. It
 // is called after the look-up, so that unknown callers get an unknown-* reason.
-func overLimit(e *RequestArrived, limits config.CallerLimits) reason.Reason {
+func exceededLimit(e *RequestArrived, limits config.CallerLimits) reason.Reason {
 	switch {
 	case limits.MaxHeader > 0 && e.HeaderBytes > limits.MaxHeader:
 		return reason.HeaderTooLarge
@@ -81,9 +81,9 @@
 		return t, reason.UnknownCustomer
 	}
 	t.policy = policy{
-		repeatable: !e.NonIdempotent,
-		maxRuns:    t.service.MaxAttempts,
-		maxSends:   t.service.MaxAttempts,
+		repeatable:  !e.NonIdempotent,
+		maxRuns:     t.service.MaxAttempts,
+		maxAttempts: t.service.MaxAttempts,
 	}
 	return t, reason.None
 }
@@ -94,8 +94,8 @@
 	if route == nil {
 		return target{}, reason.UnknownRoute
 	}
-	t := target{route: route, service: n.snapshot.Service(splitOf(route, e.Request))}
-	t.customer = n.customerOn(route, e.APIKey)
+	t := target{route: route, service: n.snapshot.Service(selectSplit(route, e.Request))}
+	t.customer = n.customerForKey(route, e.APIKey)
 	if t.customer == nil {
 		return t, reason.UnknownKey
 	}
@@ -103,25 +103,25 @@
 	return t, reason.None
 }
 
-// customerOn returns the customer of an API key. It returns nil if the route
+// customerForKey returns the customer of an API key. It returns nil if the route
 // requires a key and this one is missing or unknown.
-func (n *Node) customerOn(route *config.Route, key string) *config.Customer {
-	if customer := n.snapshot.CustomerOfKey(key); customer != nil {
+func (n *Node) customerForKey(route *config.Route, key string) *config.Customer {
+	if customer := n.snapshot.CustomerByKey(key); customer != nil {
 		return customer
 	}
-	if route.Anonymous || !n.snapshot.HasKeys() {
-		return anonymous
+	if route.Anonymous || !n.snapshot.HasAPIKeys() {
+		return anonymousCustomer
 	}
 	return nil
 }
 
 func routePolicy(route *config.Route, customer *config.Customer) policy {
 	p := policy{
-		repeatable: route.Kind == config.Idempotent || route.Resumable,
-		resumable:  route.Resumable,
-		maxRuns:    route.MaxRuns,
-		maxSends:   route.MaxRuns + spareSends,
-		priority:   route.Priority,
+		repeatable:  route.Kind == config.Idempotent || route.Resumable,
+		resumable:   route.Resumable,
+		maxRuns:     route.MaxRuns,
+		maxAttempts: route.MaxRuns + extraAttempts,
+		priority:    route.Priority,
 	}
 	if customer.Priority != nil {
 		p.priority = *customer.Priority
@@ -129,9 +129,9 @@
 	return p
 }
 
-// splitOf selects a service by the weights of the route's split. The selection hashes the
+// selectSplit selects a service by the weights of the route's split. The selection hashes the
 // request ID, so that the same request always maps to the same service.
-func splitOf(route *config.Route, id RequestID) string {
+func selectSplit(route *config.Route, id RequestID) string {
 	if len(route.Split) == 1 {
 		return route.Split[0].Service
 	}
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -63,11 +63,11 @@
 // plus the share of the period's requests. The fleet's allowance is divided among the
 // instances, so that the same limit holds for the fleet without coordination.
 type Budget struct {
-	share  float64
-	burst  float64
-	refill float64
-	tokens float64
-	at     time.Time
+	share      float64
+	burst      float64
+	refillRate float64
+	tokens     float64
+	refilledAt time.Time
 }
 
 // NewBudget returns a full budget that gains share tokens a request.
@@ -82,16 +82,16 @@
 // configuration changes. Existing tokens are kept up to the new burst; a larger burst adds
 // none.
 func (b *Budget) Resize(share, burst, refill float64) {
-	b.share, b.burst, b.refill = share, burst, refill
+	b.share, b.burst, b.refillRate = share, burst, refill
 	b.tokens = min(b.tokens, burst)
 }
 
-// Pass adds the refill for the time up to now.
-func (b *Budget) Pass(now time.Time) {
-	if !b.at.IsZero() {
-		b.add(b.refill * now.Sub(b.at).Seconds())
+// Refill adds the refill for the time up to now.
+func (b *Budget) Refill(now time.Time) {
+	if !b.refilledAt.IsZero() {
+		b.add(b.refillRate * now.Sub(b.refilledAt).Seconds())
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
 // Take spends one token and reports whether there was one.
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -11,7 +11,7 @@
 
 // An overloaded pool fails every request. Without a budget, each request would be retried
 // up to its maximum number of attempts, which would triple the load of the pool.
-func TestBudgetBoundsTheStorm(t *testing.T) {
+func TestBudgetLimitsRetriesOfFailingPool(t *testing.T) {
 	tests := []struct {
 		name                string
 		successes, failures int
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestOutcomesThatMayHaveRun(t *testing.T) {
+func TestOutcomeMayHaveRun(t *testing.T) {
 	for outcome, want := range map[retry.Outcome]bool{
 		retry.NotSent:      false,
 		retry.Refused:      false,
@@ -56,7 +56,7 @@
 // A pool fails for minutes at an instance that receives few requests. The budget is
 // refilled with time, and in no period of ten seconds does it permit more retries than its
 // allowance and its share of the requests.
-func TestBudgetComesBackWithTime(t *testing.T) {
+func TestBudgetRefillsWithTime(t *testing.T) {
 	const allowance, span = 6.0, 10
 	b := retry.NewBudget(0.2, allowance/2)
 	b.Resize(0.2, allowance/2, allowance/2/span)
@@ -64,7 +64,7 @@
 	var taken [120]float64
 	for second := range taken {
 		now = now.Add(time.Second)
-		b.Pass(now)
+		b.Refill(now)
 		b.Earn()
 		for b.Take() {
 			taken[second]++
--- a/internal/core/routing/hint.go
+++ b/internal/core/routing/hint.go
@@ -16,9 +16,9 @@
 type Hint struct {
 	Backend     string
 	Incarnation uint64
-	// Epoch is when the placement was made, in minutes since the Unix epoch. A hint is
-	// dropped once no backend server is expected to still hold the prefix.
-	Epoch uint64
+	// PlacedMinutes is when the placement was made, in minutes since the Unix epoch. A
+	// hint is dropped once no backend server is expected to still hold the prefix.
+	PlacedMinutes uint64
 }
 
 const (
@@ -30,16 +30,16 @@
 	// hintMaxAge is the maximum age of a hint. After a longer pause, the chat is placed by
 	// its ranking instead of where its prefix was.
 	hintMaxAge = 12 * time.Hour
-	// hintMaxAhead is the tolerance for the clock of another instance.
-	hintMaxAhead = 5 * time.Minute
+	// hintMaxClockSkew is the tolerance for the clock of another instance.
+	hintMaxClockSkew = 5 * time.Minute
 )
 
 // NewHint returns the hint for a placement made at now.
 func NewHint(c *Candidate, now time.Time) Hint {
-	return Hint{Backend: c.Name, Incarnation: c.Incarnation, Epoch: epoch(now)}
+	return Hint{Backend: c.Name, Incarnation: c.Incarnation, PlacedMinutes: unixMinutes(now)}
 }
 
-func epoch(t time.Time) uint64 { return uint64(max(0, t.Unix()/60)) }
+func unixMinutes(t time.Time) uint64 { return uint64(max(0, t.Unix()/60)) }
 
 // Encode returns the opaque text of the hint, or "" if the backend server's name is
 // missing or too long.
@@ -49,7 +49,7 @@
 	}
 	var buf [hintMaxBytes]byte
 	b := append(buf[:0], hintVersion)
-	b = binary.AppendUvarint(b, h.Epoch)
+	b = binary.AppendUvarint(b, h.PlacedMinutes)
 	b = binary.AppendUvarint(b, h.Incarnation)
 	b = append(b, h.Backend...)
 	return base64.RawURLEncoding.EncodeToString(b)
@@ -75,10 +75,10 @@
 	if k <= 0 || len(b) == k || len(b)-k > hintMaxName {
 		return Hint{}, false
 	}
-	return Hint{Backend: string(b[k:]), Incarnation: incarnation, Epoch: minutes}, true
+	return Hint{Backend: string(b[k:]), Incarnation: incarnation, PlacedMinutes: minutes}, true
 }
 
 // Fresh reports whether the backend server may still hold the prefix.
 func (h Hint) Fresh(now time.Time) bool {
-	return h.Epoch <= epoch(now.Add(hintMaxAhead)) && h.Epoch >= epoch(now.Add(-hintMaxAge))
+	return h.PlacedMinutes <= unixMinutes(now.Add(hintMaxClockSkew)) && h.PlacedMinutes >= unixMinutes(now.Add(-hintMaxAge))
 }
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -23,14 +23,14 @@
 	// Capacity is the maximum load. Slots is the number of requests that it processes
 	// concurrently, or 0 if it does not report one.
 	Capacity, Slots float64
-	// Far means that it is in another availability zone than this instance.
-	Far bool
+	// OtherZone means that it is in another availability zone than this instance.
+	OtherZone bool
 	// Unreachable means that this instance recently failed to connect to it.
 	Unreachable bool
-	// Withheld is the fraction, under 1, of its share of requests that a flapping backend
-	// server does not receive yet. It lowers the rank and refuses nothing: it has no
-	// effect unless other backend servers have room.
-	Withheld float64
+	// WithheldShare is the fraction, under 1, of its share of requests that a flapping
+	// backend server does not receive yet. It lowers the rank and refuses nothing: it has
+	// no effect unless other backend servers have room.
+	WithheldShare float64
 }
 
 // Limits are the maximum loads, including the new request, at which a backend server is
@@ -50,9 +50,9 @@
 	Chat uint64
 	// Hinted is the index of the candidate that a valid hint names, or None.
 	Hinted int
-	// PreferNear ranks this instance's availability zone before all others. It is meant
+	// PreferOwnZone ranks this instance's availability zone before all others. It is meant
 	// for requests that have no cached prefix on any backend server.
-	PreferNear bool
+	PreferOwnZone bool
 	// Tried holds the names of the backend servers where this request has failed. They
 	// rank last rather than being excluded, so that a second attempt is possible in a pool
 	// of one.
@@ -70,7 +70,7 @@
 // Rank bits. A candidate with a lower rank is chosen before one with a higher rank,
 // regardless of their scores.
 const (
-	rankFar = 1 << iota
+	rankOtherZone = 1 << iota
 	rankOverInner
 	rankWithheld
 	rankUnreachable
@@ -84,7 +84,7 @@
 // One pass finds the candidate with the highest score in the lowest rank, which is the one
 // that sorting by rank and score would put first.
 func Pick(candidates []Candidate, choice *Choice) int {
-	if choice.Hinted >= 0 && choice.hintTaken(&candidates[choice.Hinted]) {
+	if choice.Hinted >= 0 && choice.hintUsable(&candidates[choice.Hinted]) {
 		return choice.Hinted
 	}
 	best, bestRank, bestScore := None, rankLast, uint64(0)
@@ -113,14 +113,14 @@
 	if load > ch.Limits.Inner || c.Slots > 0 && load*ch.Draw > c.Slots {
 		rank |= rankOverInner
 	}
-	if c.Withheld > 0 && load > ch.Limits.Inner*(1-c.Withheld) {
+	if c.WithheldShare > 0 && load > ch.Limits.Inner*(1-c.WithheldShare) {
 		rank |= rankWithheld
 	}
 	if c.Unreachable {
 		rank |= rankUnreachable
 	}
-	if c.Far && ch.PreferNear {
-		rank |= rankFar
+	if c.OtherZone && ch.PreferOwnZone {
+		rank |= rankOtherZone
 	}
 	if slices.Contains(ch.Tried, c.Name) {
 		rank |= rankTried
@@ -128,9 +128,9 @@
 	return rank
 }
 
-func (ch *Choice) hintTaken(c *Candidate) bool {
+func (ch *Choice) hintUsable(c *Candidate) bool {
 	load := c.Load + 1
-	if load > ch.Limits.Hinted*(1-c.Withheld) || load > ch.Limits.Outer || load > c.Capacity {
+	if load > ch.Limits.Hinted*(1-c.WithheldShare) || load > ch.Limits.Outer || load > c.Capacity {
 		return false
 	}
 	return !c.Unreachable && !slices.Contains(ch.Tried, c.Name)
@@ -138,9 +138,9 @@
 
 // Placement of the inner and hinted limits.
 const (
-	// margin is the distance of all limits but the outer one from the bound, in square
+	// boundMargin is the distance of all limits but the outer one from the bound, in square
 	// roots of the mean load. Loads fluctuate by about one square root of the mean.
-	margin = 0.4
+	boundMargin = 0.4
 	// The inner limits of chats without a hint are spread over this part of the room
 	// between the mean and the margin.
 	unhintedLow, unhintedHigh = 0.3, 1.0
@@ -161,7 +161,7 @@
 	First
 )
 
-// LimitsFor returns the limits for one decision, from the total of requests in progress at
+// ChatLimits returns the limits for one decision, from the total of requests in progress at
 // n backend servers and the bound as a multiple of their mean.
 //
 // The mean falls as other requests end, and every load is an estimate, so a backend server
@@ -169,9 +169,9 @@
 // the bound by a margin that shrinks with the mean. The inner limit is also spread by the
 // chat's hash, equally on every instance. Instances with the same stale load therefore
 // neither all stop using one backend server at once nor all move to the same next one.
-func LimitsFor(bound, total float64, n int, chat uint64, kind Kind) Limits {
+func ChatLimits(bound, total float64, n int, chat uint64, kind Kind) Limits {
 	mean := (total + 1) / float64(n)
-	room := max(0, (bound-1)*mean-margin*math.Sqrt(mean))
+	room := max(0, (bound-1)*mean-boundMargin*math.Sqrt(mean))
 	low, high := unhintedLow, unhintedHigh
 	if kind == First {
 		low, high = firstLow, firstHigh
@@ -181,25 +181,25 @@
 	return Limits{
 		Inner:  max(1, ceilMean, math.Floor(mean+room*(low+(high-low)*spread))),
 		Hinted: max(1, ceilMean, math.Floor(mean+room)),
-		Outer:  Limit(bound, total, n),
+		Outer:  Bound(bound, total, n),
 	}
 }
 
 // NoLimits returns infinite limits, for services whose load estimates are not current.
 func NoLimits() Limits { return Limits{Inner: math.Inf(1), Hinted: math.Inf(1), Outer: math.Inf(1)} }
 
-// Written returns the limits for encoding as JSON, which has no infinite numbers. It
+// Finite returns the limits for encoding as JSON, which has no infinite numbers. It
 // returns zeros instead of NoLimits.
-func (l Limits) Written() Limits {
+func (l Limits) Finite() Limits {
 	if l == NoLimits() {
 		return Limits{}
 	}
 	return l
 }
 
-// Loosen raises the outer limit by the number of requests that is permitted beyond the
+// WithSlack raises the outer limit by the number of requests that is permitted beyond the
 // multiple of the mean. For small loads, this number is most of the permitted load.
-func (l Limits) Loosen(slack int) Limits {
+func (l Limits) WithSlack(slack int) Limits {
 	l.Outer += float64(slack)
 	return l
 }
@@ -217,11 +217,11 @@
 	mean := (total + 1) / float64(n)
 	room := (bound-1)*mean + float64(slack)
 	inner := max(1, math.Floor(mean+part*room))
-	return Limits{Inner: inner, Hinted: inner, Outer: Limit(bound, total, n) + float64(slack)}
+	return Limits{Inner: inner, Hinted: inner, Outer: Bound(bound, total, n) + float64(slack)}
 }
 
-// Limit returns the guaranteed bound: a multiple of the mean load that includes the new
+// Bound returns the guaranteed bound: a multiple of the mean load that includes the new
 // request, and at least 1.
-func Limit(bound, total float64, n int) float64 {
+func Bound(bound, total float64, n int) float64 {
 	return max(1, math.Ceil(bound*(total+1)/float64(n)))
 }
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -19,7 +19,7 @@
 	list := make([]routing.Candidate, n)
 	for i := range list {
 		name := fmt.Sprintf("engine-%03d", i)
-		list[i] = routing.Candidate{Name: name, Hash: rendezvous.Hash(name), Load: load(i), Capacity: 64, Far: i%3 != 0}
+		list[i] = routing.Candidate{Name: name, Hash: rendezvous.Hash(name), Load: load(i), Capacity: 64, OtherZone: i%3 != 0}
 	}
 	return list
 }
@@ -32,9 +32,9 @@
 	return sum
 }
 
-// walk is the reference implementation of Pick: it sorts all candidates and takes the
-// first.
-func walk(list []routing.Candidate, ch *routing.Choice) int {
+// pickBySorting is the reference implementation of Pick: it sorts all candidates and takes
+// the first.
+func pickBySorting(list []routing.Candidate, ch *routing.Choice) int {
 	order := make([]int, 0, len(list))
 	for i := range list {
 		load := list[i].Load + 1
@@ -43,13 +43,13 @@
 		}
 	}
 	tried := func(i int) bool { return slices.Contains(ch.Tried, list[i].Name) }
-	if slices.Contains(order, ch.Hinted) && !tried(ch.Hinted) && !list[ch.Hinted].Unreachable && list[ch.Hinted].Load+1 <= ch.Limits.Hinted*(1-list[ch.Hinted].Withheld) {
+	if slices.Contains(order, ch.Hinted) && !tried(ch.Hinted) && !list[ch.Hinted].Unreachable && list[ch.Hinted].Load+1 <= ch.Limits.Hinted*(1-list[ch.Hinted].WithheldShare) {
 		return ch.Hinted
 	}
 	class := func(i int) [5]bool {
 		c := list[i]
-		withheld := c.Withheld > 0 && c.Load+1 > ch.Limits.Inner*(1-c.Withheld)
-		return [5]bool{tried(i), c.Unreachable, withheld, c.Load+1 > ch.Limits.Inner, c.Far && ch.PreferNear}
+		withheld := c.WithheldShare > 0 && c.Load+1 > ch.Limits.Inner*(1-c.WithheldShare)
+		return [5]bool{tried(i), c.Unreachable, withheld, c.Load+1 > ch.Limits.Inner, c.OtherZone && ch.PreferOwnZone}
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		ca, cb := class(a), class(b)
@@ -75,28 +75,28 @@
 
 // The single pass must choose the same candidate as sorting, for every combination of
 // loads, hints, earlier failures, zones and capacities, and never one above a limit.
-func TestPickIsTheWalkAlongTheRanking(t *testing.T) {
+func TestPickMatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := candidates(rapid.IntRange(1, 40).Draw(t, "n"), func(int) float64 {
 			return float64(rapid.IntRange(0, 30).Draw(t, "load"))
 		})
 		for i := range list {
 			list[i].Unreachable = rapid.IntRange(0, 5).Draw(t, "reach") == 0
-			list[i].Withheld = rapid.SampledFrom([]float64{0, 0, 0, 0.5, 0.75}).Draw(t, "withheld")
+			list[i].WithheldShare = rapid.SampledFrom([]float64{0, 0, 0, 0.5, 0.75}).Draw(t, "withheld")
 			list[i].Capacity = float64(rapid.IntRange(1, 40).Draw(t, "capacity"))
 		}
 		chat := rapid.Uint64().Draw(t, "chat")
 		ch := routing.Choice{
-			Chat:       chat,
-			Hinted:     rapid.IntRange(-1, len(list)-1).Draw(t, "hint"),
-			PreferNear: rapid.Bool().Draw(t, "near"),
-			Limits:     routing.LimitsFor(rapid.Float64Range(1.01, 2).Draw(t, "bound"), total(list), len(list), chat, routing.First),
+			Chat:          chat,
+			Hinted:        rapid.IntRange(-1, len(list)-1).Draw(t, "hint"),
+			PreferOwnZone: rapid.Bool().Draw(t, "near"),
+			Limits:        routing.ChatLimits(rapid.Float64Range(1.01, 2).Draw(t, "bound"), total(list), len(list), chat, routing.First),
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "tries") {
 			ch.Tried = append(ch.Tried, list[rapid.IntRange(0, len(list)-1).Draw(t, "tried")].Name)
 		}
 		got := routing.Pick(list, &ch)
-		require.Equal(t, walk(list, &ch), got)
+		require.Equal(t, pickBySorting(list, &ch), got)
 		if got != routing.None {
 			require.LessOrEqual(t, list[got].Load+1, ch.Limits.Outer)
 			require.LessOrEqual(t, list[got].Load+1, list[got].Capacity)
@@ -117,7 +117,7 @@
 		list := candidates(rapid.IntRange(1, 60).Draw(t, "n"), func(int) float64 {
 			return float64(rapid.IntRange(0, 200).Draw(t, "load"))
 		})
-		limits := routing.LimitsFor(rapid.Float64Range(1.01, 2).Draw(t, "bound"), total(list), len(list), rapid.Uint64().Draw(t, "chat"), routing.Unhinted)
+		limits := routing.ChatLimits(rapid.Float64Range(1.01, 2).Draw(t, "bound"), total(list), len(list), rapid.Uint64().Draw(t, "chat"), routing.Unhinted)
 		least := slices.MinFunc(list, func(a, b routing.Candidate) int { return int(a.Load - b.Load) })
 		require.LessOrEqual(t, least.Load+1, limits.Inner)
 		require.LessOrEqual(t, limits.Inner, limits.Outer)
@@ -127,13 +127,13 @@
 
 // When a backend server leaves, only its own chats may move. Otherwise one departure would
 // invalidate the caches of the whole pool.
-func TestLeavingMovesOnlyItsOwnChats(t *testing.T) {
+func TestDepartureMovesOnlyItsOwnChats(t *testing.T) {
 	list := candidates(12, func(int) float64 { return 0 })
 	left := slices.Delete(slices.Clone(list), 5, 6)
 	moved := 0
 	for chat := range uint64(5000) {
 		h := rendezvous.Hash(fmt.Sprint(chat))
-		ch := routing.Choice{Chat: h, Hinted: routing.None, Limits: routing.LimitsFor(1.25, 0, 12, h, routing.Unhinted)}
+		ch := routing.Choice{Chat: h, Hinted: routing.None, Limits: routing.ChatLimits(1.25, 0, 12, h, routing.Unhinted)}
 		before, after := list[routing.Pick(list, &ch)].Name, left[routing.Pick(left, &ch)].Name
 		if before != after {
 			require.Equal(t, list[5].Name, before)
@@ -143,7 +143,7 @@
 	require.InDelta(t, 5000/12, moved, 80)
 }
 
-func TestHintGoesRoundAndGrowsOld(t *testing.T) {
+func TestHintRoundTripAndExpiry(t *testing.T) {
 	now := time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 	hint := routing.NewHint(&routing.Candidate{Name: "engine-3", Incarnation: 1 << 62}, now)
 	got, ok := routing.DecodeHint(hint.Encode())
@@ -182,7 +182,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				chat := rendezvous.Score(uint64(i), 1)
-				ch := routing.Choice{Chat: chat, Hinted: routing.None, Limits: routing.LimitsFor(1.25, sum, n, chat, routing.Unhinted)}
+				ch := routing.Choice{Chat: chat, Hinted: routing.None, Limits: routing.ChatLimits(1.25, sum, n, chat, routing.Unhinted)}
 				if routing.Pick(list, &ch) == routing.None {
 					b.Fatal("no candidate chosen")
 				}
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -12,37 +12,37 @@
 // preferred engine without any coordination between instances. If a request goes to another
 // engine, that engine copies the cached parts instead of prefilling them again.
 
-// recentlyJoined is how long after an engine joined the prompts of its sessions may be cached
-// only at their former engines.
-const recentlyJoined = 5 * time.Second
+// recentJoinWindow is the time after an engine joins during which the prompts of its sessions
+// may be cached only at their former engines.
+const recentJoinWindow = 5 * time.Second
 
 // The fraction of the headroom above the mean load that a session may fill at its preferred
 // engine. A lower fraction is no safer: requests that skip a full preferred engine crowd onto
 // the next engine in the ranking, which has to prefill their prompts again.
 const (
-	sessionPart = 0.85
+	defaultSessionHeadroom = 0.85
 	// In a fleet so large that loads take a second or more to propagate, each request draws
 	// its fraction from this range. With one fraction for all, all instances would leave a
 	// preferred engine at the same load, and return together when it is reported as idle.
-	largeFleetLow, largeFleetHigh = 0.75, 0.95
+	minSessionHeadroom, maxSessionHeadroom = 0.75, 0.95
 )
 
-// sessionRoom returns the fraction of the headroom that a request's session may fill at its
+// sessionHeadroom returns the fraction of the headroom that a request's session may fill at its
 // preferred engine in this fleet.
-func (n *Node) sessionRoom(id RequestID) float64 {
-	if !n.apart() {
-		return sessionPart
+func (n *Node) sessionHeadroom(id RequestID) float64 {
+	if !n.multiHop() {
+		return defaultSessionHeadroom
 	}
-	return largeFleetLow + (largeFleetHigh-largeFleetLow)*rendezvous.Unit(rendezvous.Hash(string(id)))
+	return minSessionHeadroom + (maxSessionHeadroom-minSessionHeadroom)*rendezvous.Unit(rendezvous.Hash(string(id)))
 }
 
-// source returns the address from which the chosen engine can copy the cached parts of the
+// copySource returns the address from which the chosen engine can copy the cached parts of the
 // request's prompt, or "" if it needs none.
 //
 // The address is only advisory: an engine copies the parts that the other one has cached and
 // that it lacks itself, which may be none. Copying a prompt takes an engine a fraction of the
 // time that a prefill does.
-func (n *Node) source(r *request, p *pool, chosen *routing.Candidate) string {
+func (n *Node) copySource(r *request, p *pool, chosen *routing.Candidate) string {
 	prompt := r.arrived.Prompt
 	if prompt == nil || len(prompt.Parts) < 2 {
 		return ""
@@ -51,10 +51,10 @@
 	if n.prefixes.Holds(session, chosen.Name, n.now) {
 		return ""
 	}
-	if from := n.holderOf(session, p, chosen); from != nil {
+	if from := n.cacheHolder(session, p, chosen); from != nil {
 		return from.Address
 	}
-	if from := p.formerHome(chatHash(r), chosen, n.now); from != nil {
+	if from := p.formerEngine(chatHash(r), chosen, n.now); from != nil {
 		return from.Address
 	}
 	// The session is new, but other sessions share the parts before it.
@@ -62,18 +62,18 @@
 		if n.prefixes.Holds(prompt.Parts[i].ID, chosen.Name, n.now) {
 			return ""
 		}
-		if from := n.holderOf(prompt.Parts[i].ID, p, chosen); from != nil {
+		if from := n.cacheHolder(prompt.Parts[i].ID, p, chosen); from != nil {
 			return from.Address
 		}
 	}
 	return ""
 }
 
-// holderOf returns an engine that is known to have cached a part and from which the chosen
+// cacheHolder returns an engine that is known to have cached a part and from which the chosen
 // engine can copy it, or nil.
-func (n *Node) holderOf(part string, p *pool, chosen *routing.Candidate) *routing.Candidate {
+func (n *Node) cacheHolder(part string, p *pool, chosen *routing.Candidate) *routing.Candidate {
 	var found *routing.Candidate
-	n.prefixes.Each(part, n.now, func(backend string) bool {
+	n.prefixes.EachHolder(part, n.now, func(backend string) bool {
 		if c := p.find(backend); c != nil && !c.Unreachable && backend != chosen.Name {
 			found = c
 		}
@@ -82,16 +82,16 @@
 	return found
 }
 
-// formerHome returns the engine that most likely caches a session for which this instance has
-// no record, or nil if that is the chosen engine. It is the engine that ranks first for the
-// chat. Leaving engines are included, because a session may have been routed to one before;
-// unreachable engines and those that joined within recentlyJoined are excluded.
-func (p *pool) formerHome(hash uint64, chosen *routing.Candidate, now time.Time) *routing.Candidate {
+// formerEngine returns the engine that most likely caches a session for which this instance
+// has no record, or nil if that is the chosen engine. It is the engine that ranks first for
+// the chat. Leaving engines are included, because a session may have been routed to one
+// before; unreachable engines and those that joined within recentJoinWindow are excluded.
+func (p *pool) formerEngine(hash uint64, chosen *routing.Candidate, now time.Time) *routing.Candidate {
 	var best *routing.Candidate
 	var bestScore uint64
 	consider := func(c *routing.Candidate) {
-		joined := p.joined[c.Name]
-		if c.Unreachable || !joined.IsZero() && now.Sub(joined) < recentlyJoined {
+		joined := p.joinTimes[c.Name]
+		if c.Unreachable || !joined.IsZero() && now.Sub(joined) < recentJoinWindow {
 			return
 		}
 		if score := rendezvous.Score(hash, c.Hash); best == nil || score > bestScore {
@@ -123,14 +123,14 @@
 	return nil
 }
 
-// promptSent records the parts of a prompt that the engine will have cached. The last part is
+// recordPrompt records the parts of a prompt that the engine will have cached. The last part is
 // specific to the request and is never looked up.
-func (n *Node) promptSent(r *request) {
+func (n *Node) recordPrompt(r *request) {
 	prompt := r.arrived.Prompt
 	if prompt == nil {
 		return
 	}
 	for _, part := range prompt.Parts[:len(prompt.Parts)-1] {
-		n.prefixes.Used(part.ID, r.backend, n.now)
+		n.prefixes.Record(part.ID, r.backend, n.now)
 	}
 }
--- a/internal/core/startwait.go
+++ b/internal/core/startwait.go
@@ -13,12 +13,12 @@
 // callers retry only once.
 
 const (
-	// startWait is the maximum time that a request is queued: twice the time of a read
+	// maxStartWait is the maximum time that a request is queued: twice the time of a read
 	// with a long configuration text over a slow link.
-	startWait = time.Second
-	// maxStartWaits is the maximum number of queued requests. Each holds a connection and
+	maxStartWait = time.Second
+	// maxStartWaiters is the maximum number of queued requests. Each holds a connection and
 	// a body in memory.
-	maxStartWaits = 256
+	maxStartWaiters = 256
 )
 
 // startWaiter is a request queued until this instance can serve it.
@@ -34,26 +34,26 @@
 // sessions on servers other than their homes.
 func (n *Node) starting() bool {
 	if n.snapshot == nil {
-		return !n.configs.missed
+		return !n.configs.readWithoutConfig
 	}
-	return n.readsFirstBackends() && (len(n.poolOf) == 0 || n.backends.seen != nil)
+	return n.readingFirstBackends() && (len(n.poolByBackend) == 0 || n.backends.listedNames != nil)
 }
 
 // waitForStart queues a request that arrives while the instance is starting, and reports
 // whether it did. It waits for at most half of the time until the caller's deadline, so
 // that the caller can still retry at another instance.
 func (n *Node) waitForStart(e RequestArrived) bool {
-	if !n.starting() || len(n.startWaiters) >= maxStartWaits {
+	if !n.starting() || len(n.startWaiters) >= maxStartWaiters {
 		return false
 	}
-	wait := startWait
+	wait := maxStartWait
 	if !e.Deadline.IsZero() {
 		wait = min(wait, e.Deadline.Sub(n.now)/2)
 	}
 	if wait <= 0 {
 		return false
 	}
-	n.callerLacks()
+	n.recordWaitingCaller()
 	n.startWaiters = append(n.startWaiters, startWaiter{arrived: e, since: n.now, until: n.now.Add(wait)})
 	return true
 }
@@ -74,19 +74,19 @@
 		return true
 	})
 	for _, w := range released {
-		n.takeRequest(w.arrived, w.since)
+		n.startRequest(w.arrived, w.since)
 	}
 }
 
-// startWaiterGone removes the queued request of a caller that disconnected, and reports
+// cancelStartWaiter removes the queued request of a caller that disconnected, and reports
 // whether there was one.
-func (n *Node) startWaiterGone(id RequestID) bool {
+func (n *Node) cancelStartWaiter(id RequestID) bool {
 	i := slices.IndexFunc(n.startWaiters, func(w startWaiter) bool { return w.arrived.Request == id })
 	if i < 0 {
 		return false
 	}
 	arrived := n.startWaiters[i].arrived
 	n.startWaiters = slices.Delete(n.startWaiters, i, i+1)
-	n.refuseLater(arrived, target{}, &refusal{why: reason.CallerGone})
+	n.refuseWith(arrived, target{}, &refusal{reason: reason.CallerGone})
 	return true
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -10,8 +10,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/routing"
 )
 
-// peerForget is how long a peer that sends nothing stays in the status.
-const peerForget = 10 * time.Minute
+// peerStatusTTL is how long a peer that sends nothing stays in the status.
+const peerStatusTTL = 10 * time.Minute
 
 // observations holds what is recorded only for the status. No decision depends on it.
 type observations struct {
@@ -90,10 +90,10 @@
 
 // PeerStatus is the state in a peer's last digest.
 type PeerStatus struct {
-	Name       string    `json:"name"`
-	Generation uint64    `json:"generation"`
-	Leaving    bool      `json:"leaving,omitempty"`
-	Heard      time.Time `json:"heard"`
+	Name         string    `json:"name"`
+	Generation   uint64    `json:"generation"`
+	Leaving      bool      `json:"leaving,omitempty"`
+	LastDigestAt time.Time `json:"heard"`
 }
 
 // observe records what the status reports. It does not affect decisions.
@@ -112,7 +112,7 @@
 	}
 }
 
-func reachWord(reachable bool) string {
+func reachabilityState(reachable bool) string {
 	if reachable {
 		return "reachable"
 	}
@@ -123,7 +123,7 @@
 	p := &n.observed.platform
 	if !p.Known || p.Reachable != reachable {
 		p.Known, p.Reachable, p.Since = true, reachable, n.now
-		n.emit(Learned{Subject: OfStore, State: reachWord(reachable)})
+		n.emit(StateChanged{Subject: SubjectStore, State: reachabilityState(reachable)})
 	}
 	p.LastCall = n.now
 }
@@ -137,16 +137,16 @@
 		n.observed.peers = make(map[string]PeerStatus)
 	}
 	if _, known := n.observed.peers[e.From]; !known {
-		n.forgetSilentPeers()
+		n.expirePeerStatuses()
 	}
-	n.observed.peers[e.From] = PeerStatus{Name: e.From, Generation: d.Generation, Leaving: d.Leaving, Heard: n.now}
+	n.observed.peers[e.From] = PeerStatus{Name: e.From, Generation: d.Generation, Leaving: d.Leaving, LastDigestAt: n.now}
 }
 
-// forgetSilentPeers removes peers that no longer send digests. Otherwise the map would
+// expirePeerStatuses removes peers that no longer send digests. Otherwise the map would
 // grow with every replaced instance.
-func (n *Node) forgetSilentPeers() {
+func (n *Node) expirePeerStatuses() {
 	for name, p := range n.observed.peers {
-		if n.now.Sub(p.Heard) > peerForget {
+		if n.now.Sub(p.LastDigestAt) > peerStatusTTL {
 			delete(n.observed.peers, name)
 		}
 	}
@@ -158,13 +158,13 @@
 // Ready reports whether this instance should receive new requests: a configuration is in
 // force, at least one backend server is known, and no graceful shutdown has begun.
 func (n *Node) Ready() bool {
-	return n.snapshot != nil && n.knowsBackends() && !n.lifecycle.stopping
+	return n.snapshot != nil && n.hasBackends() && !n.lifecycle.stopping
 }
 
-// knowsBackends reports whether any backend server is known. After the configuration is
+// hasBackends reports whether any backend server is known. After the configuration is
 // applied and before the first list of entries is read, an instance without one would
 // refuse every request.
-func (n *Node) knowsBackends() bool {
+func (n *Node) hasBackends() bool {
 	for _, p := range n.pools {
 		if len(p.candidates) > 0 {
 			return true
@@ -207,7 +207,7 @@
 		s.Backends = append(s.Backends, n.candidateStatus(&candidates[i]))
 	}
 	s.Mean /= float64(max(1, len(s.Backends)))
-	s.Backends = append(s.Backends, n.leavingOf(service)...)
+	s.Backends = append(s.Backends, n.leavingBackends(service)...)
 	return s
 }
 
@@ -218,11 +218,11 @@
 	}
 }
 
-// leavingOf lists a service's draining backend servers. They finish their requests in
+// leavingBackends lists a service's draining backend servers. They finish their requests in
 // flight and get no new ones.
-func (n *Node) leavingOf(service *config.Service) []BackendStatus {
+func (n *Node) leavingBackends(service *config.Service) []BackendStatus {
 	var list []BackendStatus
-	add := func(in *membership.Instance, zone, address string) {
+	add := func(in *membership.Member, zone, address string) {
 		if in == nil || in.State != membership.Leaving {
 			return
 		}
@@ -235,7 +235,7 @@
 		add(n.view.Get(b.Name), b.Zone, b.Address)
 	}
 	if service.FromPlatform {
-		n.view.EachOf(service.Name, func(in *membership.Instance) { add(in, in.Zone, in.Address) })
+		n.view.EachOfService(service.Name, func(in *membership.Member) { add(in, in.Zone, in.Address) })
 	}
 	slices.SortFunc(list, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return slices.CompactFunc(list, func(a, b BackendStatus) bool { return a.Name == b.Name })
@@ -243,8 +243,8 @@
 
 func (n *Node) instanceStatuses() []InstanceStatus {
 	var list []InstanceStatus
-	n.view.Each(func(in *membership.Instance) {
-		if in.Role == membership.Entry && in.Name != n.settings.Name {
+	n.view.Each(func(in *membership.Member) {
+		if in.Role == membership.RoleInstance && in.Name != n.settings.Name {
 			list = append(list, InstanceStatus{Name: in.Name, Zone: in.Zone, Address: in.Address, State: in.State})
 		}
 	})
--- a/internal/core/status_test.go
+++ b/internal/core/status_test.go
@@ -13,21 +13,21 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-const statusText = `{
+const statusConfig = `{
 "services": [{"name": "llm", "kind": "model", "backend_servers": [
 {"name": "e1", "address": "10.0.0.1:80", "zone": "a"}, {"name": "e2", "address": "10.0.0.2:80", "zone": "a"}]}],
 "customers": [{"name": "c1"}]}`
 
-// TestStatusOfAnOutage checks the status when calls to the platform succeed, then
+// TestStatusDuringPlatformOutage checks the status when calls to the platform succeed, then
 // fail, then succeed again. Since must be the start of the outage, not the time of the last
 // failed call, and the configuration must stay in force.
-func TestStatusOfAnOutage(t *testing.T) {
+func TestStatusDuringPlatformOutage(t *testing.T) {
 	n := core.New(core.Settings{Name: "entry-1", Zone: "a"})
 	start := time.Unix(1_700_000_000, 0).UTC()
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	require.False(t, n.Status().Platform.Known)
 
-	n.Handle(at(0), core.ConfigOffered{Envelope: config.Envelope{Generation: 4, Edit: "e", Text: statusText}})
+	n.Handle(at(0), core.ConfigOffered{Envelope: config.Envelope{Generation: 4, Edit: "e", Text: statusConfig}})
 	n.Handle(at(1), core.StoreReplied{Op: 1, Status: core.StoreOK})
 	require.Equal(t, core.PlatformStatus{Known: true, Reachable: true, Since: at(1), LastCall: at(1)}, n.Status().Platform)
 	n.Handle(at(2), core.StoreReplied{Op: 2, Status: core.StoreUnknown})
@@ -45,7 +45,7 @@
 	n := core.New(core.Settings{Name: "entry-1", Zone: "a"})
 	now := time.Unix(1_700_000_000, 0)
 	require.Equal(t, reason.NoConfiguration, n.Explain(core.ExplainQuery{Service: "llm"}).Refused)
-	n.Handle(now, core.ConfigOffered{Envelope: config.Envelope{Generation: 1, Edit: "e", Text: statusText}})
+	n.Handle(now, core.ConfigOffered{Envelope: config.Envelope{Generation: 1, Edit: "e", Text: statusConfig}})
 	require.Equal(t, reason.UnknownService, n.Explain(core.ExplainQuery{Service: "x"}).Refused)
 	require.Equal(t, reason.UnknownCustomer, n.Explain(core.ExplainQuery{Service: "llm", Customer: "x"}).Refused)
 
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// settleLimit is how long a stopping instance without requests in flight keeps
+// claimSettleTimeout is how long a stopping instance without requests in flight keeps
 // trying to record the ends of its claims, counted from closeAt.
-const settleLimit = 10 * time.Second
+const claimSettleTimeout = 10 * time.Second
 
-// stopReserve is the safety margin before the kill: a request must end at least this long
+// stopMargin is the safety margin before the kill: a request must end at least this long
 // before it.
-const stopReserve = 500 * time.Millisecond
+const stopMargin = 500 * time.Millisecond
 
 // lifecycleState is the progress of this instance's graceful shutdown.
 type lifecycleState struct {
@@ -34,12 +34,12 @@
 	n.emit(SetReady{Ready: false})
 }
 
-// tooLateFor reports whether a request that arrives after closeAt could still be
+// exceedsStopGrace reports whether a request that arrives after closeAt could still be
 // in flight when the process is killed. Such requests arrive on kept-alive connections.
 // They are refused before they run, so that the caller can retry at another instance.
-func (n *Node) tooLateFor(deadline time.Time) bool {
+func (n *Node) exceedsStopGrace(deadline time.Time) bool {
 	s := &n.lifecycle
-	return !s.killAt.IsZero() && !n.now.Before(s.closeAt) && deadline.After(s.killAt.Add(-stopReserve))
+	return !s.killAt.IsZero() && !n.now.Before(s.closeAt) && deadline.After(s.killAt.Add(-stopMargin))
 }
 
 func (n *Node) tickLifecycle() {
@@ -51,7 +51,7 @@
 		s.closed = true
 		n.emit(CloseListener{})
 	}
-	if len(n.requests) == 0 && (n.claimsSettled() || !n.now.Before(s.closeAt.Add(settleLimit))) {
+	if len(n.requests) == 0 && (n.claimEndsStored() || !n.now.Before(s.closeAt.Add(claimSettleTimeout))) {
 		s.stopped = true
 		n.emit(Stopped{})
 	}
--- a/internal/core/sums/lists.go
+++ b/internal/core/sums/lists.go
@@ -7,48 +7,48 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/load"
 )
 
-// maxTold bounds the number of backend servers stored for each list received from a peer.
-const maxTold = 8192
+// maxListEntries bounds the number of backend servers stored for each list received from a peer.
+const maxListEntries = 8192
 
-// Lists holds the loads that one instance sends to another, keyed by backend server.
-type Lists struct {
+// Loads holds the loads that one instance sends to another, keyed by backend server.
+type Loads struct {
 	// Own holds the sender's own requests.
 	Own map[string]int
-	// Rows holds the sums of the sender's row or, for a peer in another zone, of its zone.
-	Rows map[string]int
+	// RowSums holds the sums of the sender's row or, for a peer in another zone, of its zone.
+	RowSums map[string]int
 	// Totals holds the sender's totals without the loads that the peer gets from elsewhere.
 	Totals map[string]int
 }
 
-// NewLists returns empty lists.
-func NewLists() Lists {
-	return Lists{Own: make(map[string]int), Rows: make(map[string]int), Totals: make(map[string]int)}
+// NewLoads returns empty lists.
+func NewLoads() Loads {
+	return Loads{Own: make(map[string]int), RowSums: make(map[string]int), Totals: make(map[string]int)}
 }
 
 // Sum returns the load at a backend server according to all three lists.
-func (l Lists) Sum(backend string) int {
-	return l.Own[backend] + l.Rows[backend] + l.Totals[backend]
+func (l Loads) Sum(backend string) int {
+	return l.Own[backend] + l.RowSums[backend] + l.Totals[backend]
 }
 
 // Changes holds the entries of the lists that differ from those last sent to a peer.
 type Changes struct {
-	Own, Rows, Totals []load.Count
+	Own, RowSums, Totals []load.Count
 	// Shed is the number of entries left out to save bytes.
 	Shed int
 }
 
-// Change compares the lists with those last sent to a peer, updates sent, and returns the
+// Diff compares the lists with those last sent to a peer, updates sent, and returns the
 // differences. If full is set, it returns all entries. If skipSmall is set, it leaves out
 // small changes.
-func (l Lists) Change(sent Lists, full, skipSmall bool) Changes {
+func (l Loads) Diff(sent Loads, full, skipSmall bool) Changes {
 	var c Changes
-	c.Own = c.differ(l.Own, sent.Own, full, skipSmall)
-	c.Rows = c.differ(l.Rows, sent.Rows, full, skipSmall)
-	c.Totals = c.differ(l.Totals, sent.Totals, full, skipSmall)
+	c.Own = c.diffList(l.Own, sent.Own, full, skipSmall)
+	c.RowSums = c.diffList(l.RowSums, sent.RowSums, full, skipSmall)
+	c.Totals = c.diffList(l.Totals, sent.Totals, full, skipSmall)
 	return c
 }
 
-func (c *Changes) differ(now, sent map[string]int, full, skipSmall bool) []load.Count {
+func (c *Changes) diffList(now, sent map[string]int, full, skipSmall bool) []load.Count {
 	if full {
 		clear(sent)
 	}
@@ -58,7 +58,7 @@
 		if v == old {
 			continue
 		}
-		if skipSmall && !full && little(v, old) {
+		if skipSmall && !full && isSmallChange(v, old) {
 			c.Shed++
 			continue
 		}
@@ -72,9 +72,9 @@
 	return out
 }
 
-// little reports whether a change is at most a tenth of the load. A change to zero is never
-// little.
-func little(v, old int) bool {
+// isSmallChange reports whether a change is at most a tenth of the load. A change to zero is never
+// isSmallChange.
+func isSmallChange(v, old int) bool {
 	return v != 0 && max(v-old, old-v)*10 <= max(v, old)
 }
 
@@ -90,16 +90,16 @@
 	return names
 }
 
-// Linger keeps the sums that were last sent to a peer but that this instance no longer
+// RetainSent keeps the sums that were last sent to a peer but that this instance no longer
 // computes. It is used after a change of the layout, until the new sender of these sums has
 // collected its own.
-func (l Lists) Linger(sent Lists) {
-	keep(l.Rows, sent.Rows)
-	keep(l.Totals, sent.Totals)
+func (l Loads) RetainSent(sent Loads) {
+	addMissing(l.RowSums, sent.RowSums)
+	addMissing(l.Totals, sent.Totals)
 }
 
-// keep copies the entries of sent that now lacks.
-func keep(now, sent map[string]int) {
+// addMissing copies the entries of sent that now lacks.
+func addMissing(now, sent map[string]int) {
 	for backend, v := range sent {
 		if _, ok := now[backend]; !ok {
 			now[backend] = v
@@ -107,12 +107,12 @@
 	}
 }
 
-// Take merges changes received from a peer and returns the new sums at the backend servers
+// Apply merges changes received from a peer and returns the new sums at the backend servers
 // concerned, sorted by name. If full is set, the changes replace all earlier entries.
-func (l Lists) Take(c Changes, full bool) []load.Count {
+func (l Loads) Apply(c Changes, full bool) []load.Count {
 	var touched []string
 	touched = merge(touched, l.Own, c.Own, full)
-	touched = merge(touched, l.Rows, c.Rows, full)
+	touched = merge(touched, l.RowSums, c.RowSums, full)
 	touched = merge(touched, l.Totals, c.Totals, full)
 	slices.Sort(touched)
 	touched = slices.Compact(touched)
@@ -134,7 +134,7 @@
 		switch {
 		case c.InFlight <= 0:
 			delete(list, c.Backend)
-		case len(list) < maxTold:
+		case len(list) < maxListEntries:
 			list[c.Backend] = c.InFlight
 		}
 	}
--- a/internal/core/sums/sums.go
+++ b/internal/core/sums/sums.go
@@ -19,76 +19,76 @@
 type Exchange struct {
 	self   string
 	layout *mesh.Layout
-	// heads holds the acting aggregator of each shard in this row. For the shards that this
-	// instance aggregates, columns and counterparts hold the aggregators in the other rows
-	// and in the other zones.
-	heads        []string
-	columns      [][]string
-	counterparts []mesh.Counterparts
+	// aggregators holds the acting aggregator of each shard in this row. For the shards that
+	// this instance aggregates, otherRows and otherZones hold the aggregators in the other rows
+	// and zones.
+	aggregators []string
+	otherRows   [][]string
+	otherZones  []mesh.RemoteAggregators
 	// own calls a function for each backend server with requests of this instance.
 	own func(f func(backend string, inFlight int))
-	// heard returns the loads received from a peer.
-	heard func(peer string) Lists
+	// received returns the loads received from a peer.
+	received func(peer string) Loads
 }
 
 // New returns the exchange of the instance named self. The function own lists the instance's
 // own requests, and received returns the loads received from a peer.
-func New(self string, own func(f func(backend string, inFlight int)), received func(peer string) Lists) *Exchange {
-	return &Exchange{self: self, own: own, heard: received}
+func New(self string, own func(f func(backend string, inFlight int)), received func(peer string) Loads) *Exchange {
+	return &Exchange{self: self, own: own, received: received}
 }
 
-// Lay sets the layout and the predicate for silent instances. If crossZone is set, the zones
+// SetLayout sets the layout and the predicate for silent instances. If crossZone is set, the zones
 // exchange their loads, which is necessary if requests go to backend servers of all zones.
-func (e *Exchange) Lay(layout *mesh.Layout, silent func(string) bool, crossZone bool) {
-	count := layout.Slices()
+func (e *Exchange) SetLayout(layout *mesh.Layout, silent func(string) bool, crossZone bool) {
+	count := layout.ShardCount()
 	e.layout = layout
-	e.heads = make([]string, count)
-	e.columns = make([][]string, count)
-	e.counterparts = make([]mesh.Counterparts, count)
+	e.aggregators = make([]string, count)
+	e.otherRows = make([][]string, count)
+	e.otherZones = make([]mesh.RemoteAggregators, count)
 	for s := range count {
-		e.heads[s] = layout.Head(s, silent)
-		if !e.headsSlice(s) {
+		e.aggregators[s] = layout.Aggregator(s, silent)
+		if !e.aggregates(s) {
 			continue
 		}
-		e.columns[s] = layout.Columns(s, silent)
+		e.otherRows[s] = layout.OtherRowAggregators(s, silent)
 		if crossZone {
-			e.counterparts[s] = layout.Counterparts(s, silent)
+			e.otherZones[s] = layout.RemoteAggregators(s, silent)
 		}
 	}
 }
 
-// Head returns the acting aggregator of a backend server's shard in this row.
-func (e *Exchange) Head(backend string) string { return e.heads[e.layout.Slice(backend)] }
+// Aggregator returns the acting aggregator of a backend server's shard in this row.
+func (e *Exchange) Aggregator(backend string) string { return e.aggregators[e.layout.ShardOf(backend)] }
 
-// For returns the loads to send to a peer of the layout.
-func (e *Exchange) For(peer string) Lists {
-	out := NewLists()
+// LoadsFor returns the loads to send to a peer of the layout.
+func (e *Exchange) LoadsFor(peer string) Loads {
+	out := NewLoads()
 	switch {
-	case !e.layout.Apart():
-		out.Own = e.ownIn(everySlice)
-	case !slices.Contains(e.layout.Mates(), peer):
-		out.Rows = e.rowSumsFor(peer)
-		maps.Copy(out.Rows, e.zoneSumsFor(peer))
-	case e.layout.Rows():
-		out.Own = e.ownIn(func(shard int) bool { return e.heads[shard] == peer })
+	case !e.layout.Hierarchical():
+		out.Own = e.ownLoads(everyShard)
+	case !slices.Contains(e.layout.RowPeers(), peer):
+		out.RowSums = e.rowSumsFor(peer)
+		maps.Copy(out.RowSums, e.zoneSumsFor(peer))
+	case e.layout.MultipleRows():
+		out.Own = e.ownLoads(func(shard int) bool { return e.aggregators[shard] == peer })
 		out.Totals = e.totalsFor(peer)
 	default:
-		out.Own = e.ownIn(everySlice)
+		out.Own = e.ownLoads(everyShard)
 		out.Totals = e.totalsFor(peer)
 	}
 	return out
 }
 
-// headsSlice reports whether this instance aggregates a shard.
-func (e *Exchange) headsSlice(shard int) bool { return e.heads[shard] == e.self }
+// aggregates reports whether this instance aggregates a shard.
+func (e *Exchange) aggregates(shard int) bool { return e.aggregators[shard] == e.self }
 
-func everySlice(int) bool { return true }
+func everyShard(int) bool { return true }
 
-// ownIn returns this instance's own requests at the backend servers of some shards.
-func (e *Exchange) ownIn(inShard func(int) bool) map[string]int {
+// ownLoads returns this instance's own requests at the backend servers of some shards.
+func (e *Exchange) ownLoads(inShard func(int) bool) map[string]int {
 	out := make(map[string]int)
 	e.own(func(backend string, inFlight int) {
-		if !e.layout.Apart() || inShard(e.layout.Slice(backend)) {
+		if !e.layout.Hierarchical() || inShard(e.layout.ShardOf(backend)) {
 			out[backend] = inFlight
 		}
 	})
@@ -97,14 +97,14 @@
 
 // rowSumsFor returns the row sums of the shards that a peer aggregates in another row.
 func (e *Exchange) rowSumsFor(peer string) map[string]int {
-	return e.rowSums(func(shard int) bool { return slices.Contains(e.columns[shard], peer) })
+	return e.rowSums(func(shard int) bool { return slices.Contains(e.otherRows[shard], peer) })
 }
 
 // rowSums returns the sums of the row's loads in some shards.
 func (e *Exchange) rowSums(inShard func(int) bool) map[string]int {
-	out := e.ownIn(inShard)
-	for _, peer := range e.layout.Mates() {
-		e.add(out, e.heard(peer).Own, inShard)
+	out := e.ownLoads(inShard)
+	for _, peer := range e.layout.RowPeers() {
+		e.add(out, e.received(peer).Own, inShard)
 	}
 	return out
 }
@@ -112,9 +112,9 @@
 // zoneSumsFor returns the zone sums of the shards for which a peer in another zone depends on
 // this instance.
 func (e *Exchange) zoneSumsFor(peer string) map[string]int {
-	inShard := func(shard int) bool { return slices.Contains(e.counterparts[shard].Told, peer) }
+	inShard := func(shard int) bool { return slices.Contains(e.otherZones[shard].Receivers, peer) }
 	out := e.rowSums(inShard)
-	for shard, columns := range e.columns {
+	for shard, columns := range e.otherRows {
 		if inShard(shard) {
 			e.addSums(out, shard, columns)
 		}
@@ -127,17 +127,17 @@
 // of the zone.
 func (e *Exchange) totalsFor(peer string) map[string]int {
 	out := make(map[string]int)
-	if e.layout.Rows() {
-		out = e.ownIn(e.headsSlice)
-		for _, other := range e.layout.Mates() {
+	if e.layout.MultipleRows() {
+		out = e.ownLoads(e.aggregates)
+		for _, other := range e.layout.RowPeers() {
 			if other != peer {
-				e.add(out, e.heard(other).Own, e.headsSlice)
+				e.add(out, e.received(other).Own, e.aggregates)
 			}
 		}
 	}
-	for shard := range e.heads {
-		e.addSums(out, shard, e.columns[shard])
-		e.addSums(out, shard, e.counterparts[shard].Heard)
+	for shard := range e.aggregators {
+		e.addSums(out, shard, e.otherRows[shard])
+		e.addSums(out, shard, e.otherZones[shard].Senders)
 	}
 	return out
 }
@@ -145,14 +145,14 @@
 // addSums adds the row and zone sums received from other aggregators of a shard.
 func (e *Exchange) addSums(sum map[string]int, shard int, aggregators []string) {
 	for _, aggregator := range aggregators {
-		e.add(sum, e.heard(aggregator).Rows, func(s int) bool { return s == shard })
+		e.add(sum, e.received(aggregator).RowSums, func(s int) bool { return s == shard })
 	}
 }
 
 // add adds the loads in some shards to sum.
 func (e *Exchange) add(sum, loads map[string]int, inShard func(int) bool) {
 	for backend, v := range loads {
-		if inShard(e.layout.Slice(backend)) {
+		if inShard(e.layout.ShardOf(backend)) {
 			sum[backend] += v
 		}
 	}
--- a/internal/core/sums/sums_test.go
+++ b/internal/core/sums/sums_test.go
@@ -14,7 +14,7 @@
 
 const engines = 20
 
-func awake(string) bool { return false }
+func noneSilent(string) bool { return false }
 
 // fleet simulates instances that exchange their full lists in rounds.
 type fleet struct {
@@ -22,13 +22,13 @@
 	exchanges map[string]*Exchange
 	layouts   map[string]*mesh.Layout
 	own       map[string]map[string]int
-	heard     map[string]map[string]Lists
+	received  map[string]map[string]Loads
 }
 
 func newFleet(instances, zones int, crossZone bool) *fleet {
 	f := &fleet{
 		exchanges: make(map[string]*Exchange), layouts: make(map[string]*mesh.Layout),
-		own: make(map[string]map[string]int), heard: make(map[string]map[string]Lists),
+		own: make(map[string]map[string]int), received: make(map[string]map[string]Loads),
 	}
 	for i := range instances {
 		f.members = append(f.members, mesh.Member{Name: fmt.Sprintf("entry-%02d", i), Zone: fmt.Sprint("zone-", i%zones)})
@@ -36,38 +36,38 @@
 	random := rand.New(rand.NewPCG(1, uint64(instances)))
 	for _, m := range f.members {
 		f.own[m.Name] = map[string]int{fmt.Sprint("engine-", random.IntN(engines)): 1 + random.IntN(3)}
-		f.heard[m.Name] = make(map[string]Lists)
+		f.received[m.Name] = make(map[string]Loads)
 		f.layouts[m.Name] = mesh.New(m, f.members)
 		own := func(yield func(string, int)) {
 			for backend, inFlight := range f.own[m.Name] {
 				yield(backend, inFlight)
 			}
 		}
-		received := func(peer string) Lists { return f.heard[m.Name][peer] }
+		received := func(peer string) Loads { return f.received[m.Name][peer] }
 		f.exchanges[m.Name] = New(m.Name, own, received)
-		f.exchanges[m.Name].Lay(f.layouts[m.Name], awake, crossZone)
+		f.exchanges[m.Name].SetLayout(f.layouts[m.Name], noneSilent, crossZone)
 	}
 	return f
 }
 
 // round makes every instance send its loads to all of its peers.
 func (f *fleet) round() {
-	received := make(map[string]map[string]Lists)
+	received := make(map[string]map[string]Loads)
 	for _, m := range f.members {
-		received[m.Name] = make(map[string]Lists)
+		received[m.Name] = make(map[string]Loads)
 	}
 	for _, m := range f.members {
-		for _, peer := range f.layouts[m.Name].Peers(awake) {
-			received[peer][m.Name] = f.exchanges[m.Name].For(peer)
+		for _, peer := range f.layouts[m.Name].Peers(noneSilent) {
+			received[peer][m.Name] = f.exchanges[m.Name].LoadsFor(peer)
 		}
 	}
-	f.heard = received
+	f.received = received
 }
 
 // known returns the load at a backend server as one instance knows it.
 func (f *fleet) known(name, backend string) int {
 	sum := f.own[name][backend]
-	for _, lists := range f.heard[name] {
+	for _, lists := range f.received[name] {
 		sum += lists.Sum(backend)
 	}
 	return sum
@@ -95,7 +95,7 @@
 				f.round()
 			}
 			for _, m := range f.members {
-				hierarchical := f.layouts[m.Name].Apart()
+				hierarchical := f.layouts[m.Name].Hierarchical()
 				for i := range engines {
 					backend := fmt.Sprint("engine-", i)
 					want := f.total(backend, func(zone string) bool { return crossZone || !hierarchical || zone == m.Zone })
@@ -108,18 +108,18 @@
 
 // The receiver's lists must equal the sender's after each digest. A digest that omits a change
 // would leave the peer with a load that has ended.
-func TestWhatWasToldIsWhatWasHeard(t *testing.T) {
+func TestReceivedLoadsEqualSentLoads(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	sent, received := NewLists(), NewLists()
+	sent, received := NewLoads(), NewLoads()
 	for range 200 {
-		now := NewLists()
-		for _, list := range []map[string]int{now.Own, now.Rows, now.Totals} {
+		now := NewLoads()
+		for _, list := range []map[string]int{now.Own, now.RowSums, now.Totals} {
 			for range random.IntN(5) {
 				list[fmt.Sprint("engine-", random.IntN(engines))] = 1 + random.IntN(30)
 			}
 		}
 		full := random.IntN(10) == 0
-		counts := received.Take(now.Change(sent, full, false), full)
+		counts := received.Apply(now.Diff(sent, full, false), full)
 		require.Equal(t, now, received)
 		for _, c := range counts {
 			require.Equal(t, now.Sum(c.Backend), c.InFlight)
@@ -129,14 +129,14 @@
 
 // While the byte budget is short, a small change is left out until it has grown. The end of a
 // load is always sent.
-func TestLittleChangesAreLeftOutWhereBytesAreShort(t *testing.T) {
-	sent := NewLists()
+func TestSmallChangesAreLeftOutOnShortBudget(t *testing.T) {
+	sent := NewLoads()
 	send := func(inFlight int) Changes {
-		now := NewLists()
+		now := NewLoads()
 		if inFlight > 0 {
 			now.Own["engine-1"] = inFlight
 		}
-		return now.Change(sent, false, true)
+		return now.Diff(sent, false, true)
 	}
 	require.Len(t, send(20).Own, 1)
 	c := send(22)
--- a/internal/core/surge.go
+++ b/internal/core/surge.go
@@ -7,59 +7,59 @@
 // traffic starts or doubles, every instance would in the meantime send the sessions of the
 // whole fleet to servers that still look idle.
 const (
-	// A load is a surge if it exceeds the baseline times surgeRise by more than surgeLeast
+	// A load is a surge if it exceeds the baseline times surgeFactor by more than surgeMargin
 	// requests. Ordinary traffic fluctuates by less: by the square root of some hundred
 	// requests, or by a few requests when there is almost no traffic.
-	surgeRise  = 1.1
-	surgeLeast = 4
-	// surgeRound is the minimum interval between two announcements. The byte budget limits
+	surgeFactor = 1.1
+	surgeMargin = 4
+	// surgeMinInterval is the minimum interval between two announcements. The byte budget limits
 	// them as well: loads that exceed it are left out of the digests.
-	surgeRound = 250 * time.Millisecond
-	// surgeCalm is the time after which the current load becomes the new baseline.
-	surgeCalm = time.Second
+	surgeMinInterval = 250 * time.Millisecond
+	// surgeBaselineInterval is the time after which the current load becomes the new baseline.
+	surgeBaselineInterval = time.Second
 )
 
-// surge detects a rise of the load that an instance knows.
-type surge struct {
-	// load is the baseline with which new loads are compared.
-	load float64
-	// next is the earliest time of the next announcement, and calm the time of the next new
-	// baseline.
-	next, calm time.Time
+// surgeDetector detects a rise of the load that an instance knows.
+type surgeDetector struct {
+	// baseline is the load with which new loads are compared.
+	baseline float64
+	// nextAnnouncement is the earliest time of the next announcement, and nextBaseline the
+	// time at which the baseline is next updated.
+	nextAnnouncement, nextBaseline time.Time
 }
 
-// rises reports whether the load must be announced to the peers now, and updates the
+// detect reports whether the load must be announced to the peers now, and updates the
 // baseline.
-func (s *surge) rises(load float64, now time.Time) bool {
-	rising := load > surgeRise*s.load+surgeLeast && !now.Before(s.next)
-	if !rising && now.Before(s.calm) {
+func (s *surgeDetector) detect(load float64, now time.Time) bool {
+	rising := load > surgeFactor*s.baseline+surgeMargin && !now.Before(s.nextAnnouncement)
+	if !rising && now.Before(s.nextBaseline) {
 		return false
 	}
-	s.load = load
-	s.next = now.Add(surgeRound)
-	s.calm = now.Add(surgeCalm)
+	s.baseline = load
+	s.nextAnnouncement = now.Add(surgeMinInterval)
+	s.nextBaseline = now.Add(surgeBaselineInterval)
 	return rising
 }
 
-// hurrySurge announces a surge to every peer at once, where loads take several hops.
-func (n *Node) hurrySurge() {
-	if !n.apart() {
+// announceSurge announces a surge to every peer at once, where loads take several hops.
+func (n *Node) announceSurge() {
+	if !n.multiHop() {
 		return
 	}
 	load := 0.0
 	for _, p := range n.pools {
-		load += p.total
+		load += p.totalLoad
 	}
-	if n.peers.surge.rises(load, n.now) {
-		n.hurryPeers()
+	if n.peers.surge.detect(load, n.now) {
+		n.sendDigestsNow()
 	}
 }
 
-// hurryPeers makes a digest to every peer due now, except to those outside the layout.
-func (n *Node) hurryPeers() {
+// sendDigestsNow makes a digest to every peer due now, except to those outside the layout.
+func (n *Node) sendDigestsNow() {
 	for name, p := range n.peers.byName {
-		if !n.outsider(name) {
-			p.due = n.now
+		if !n.outsideLayout(name) {
+			p.digestDue = n.now
 		}
 	}
 }
--- a/internal/core/traffic_test.go
+++ b/internal/core/traffic_test.go
@@ -19,13 +19,13 @@
 	name                                string
 	instances, zones, engines, services int
 	customers                           int
-	perSecond                           float64 // requests per second at each instance
-	most                                int     // limit on an instance's sent and received bytes
+	requestsPerSecond                   float64 // requests per second at each instance
+	maxBytesPerSecond                   int     // limit on an instance's sent and received bytes
 }
 
 const (
-	// meanChat is the mean duration of a chat's request.
-	meanChat = 10 * time.Second
+	// meanChatDuration is the mean duration of a chat's request.
+	meanChatDuration = 10 * time.Second
 	// pollBytes is the size of one poll of a load report in both directions.
 	pollBytes = 2 * sizePoll
 )
@@ -35,32 +35,32 @@
 type chatFleet struct {
 	*peerFleet
 	trafficSize
-	random   *rand.Rand
-	inFlight map[string]int
-	ends     []chatEnd
-	requests int
-	refused  int
-	spent    map[string]int
+	random       *rand.Rand
+	inFlight     map[string]int
+	pendingEnds  []chatEnd
+	requests     int
+	refused      int
+	trafficBytes map[string]int
 }
 
 type chatEnd struct {
-	at      time.Time
-	by      string
-	attempt SendAttempt
+	at       time.Time
+	instance string
+	attempt  SendAttempt
 }
 
 func newChatFleet(t *testing.T, size trafficSize) *chatFleet {
 	f := &chatFleet{
 		peerFleet: newPeerFleet(t, size.instances, size.zones), trafficSize: size,
-		random: rand.New(rand.NewPCG(1, 1)), inFlight: make(map[string]int), spent: make(map[string]int),
+		random: rand.New(rand.NewPCG(1, 1)), inFlight: make(map[string]int), trafficBytes: make(map[string]int),
 	}
 	for i := range size.engines {
-		f.listed = append(f.listed, membership.Instance{
-			Name: fmt.Sprint("engine-", i), Role: membership.Backend, Service: fmt.Sprint("model-", i/size.zones%size.services),
+		f.listed = append(f.listed, membership.Member{
+			Name: fmt.Sprint("engine-", i), Role: membership.RoleBackend, Service: fmt.Sprint("model-", i/size.zones%size.services),
 			Zone: fmt.Sprint("zone-", i%size.zones), Address: "127.0.0.1:9", Incarnation: 1, State: membership.Live,
 		})
 	}
-	f.observe = f.count
+	f.observe = f.recordEffect
 	text, err := json.Marshal(size.text())
 	require.NoError(t, err)
 	for _, name := range f.names() {
@@ -80,19 +80,19 @@
 	return text
 }
 
-// count processes an effect of an instance and counts its control traffic.
-func (f *chatFleet) count(name string, effect Effect) {
+// recordEffect processes an effect of an instance and counts its control traffic.
+func (f *chatFleet) recordEffect(name string, effect Effect) {
 	switch e := effect.(type) {
 	case SendPeer:
-		f.spent[name] += e.Message.WireEstimate()
-		f.spent[e.To] += e.Message.WireEstimate()
+		f.trafficBytes[name] += e.Message.WireEstimate()
+		f.trafficBytes[e.To] += e.Message.WireEstimate()
 	case PollReport:
-		f.spent[name] += pollBytes
+		f.trafficBytes[name] += pollBytes
 		f.inbox[name] = append(f.inbox[name], BackendReported{Report: *f.report(e.Backend)})
 	case SendAttempt:
 		f.inFlight[e.Backend]++
-		duration := time.Duration(f.random.ExpFloat64() * float64(meanChat))
-		f.ends = append(f.ends, chatEnd{at: f.now.Add(duration), by: name, attempt: e})
+		duration := time.Duration(f.random.ExpFloat64() * float64(meanChatDuration))
+		f.pendingEnds = append(f.pendingEnds, chatEnd{at: f.now.Add(duration), instance: name, attempt: e})
 	case Finish:
 		f.refused++
 	}
@@ -102,14 +102,14 @@
 	return &membership.Report{Backend: engine, Incarnation: 1, State: membership.Live, InFlight: f.inFlight[engine], At: f.now}
 }
 
-// serve advances the virtual time by d with chat traffic.
-func (f *chatFleet) serve(d time.Duration) {
+// runWithTraffic advances the virtual time by d with chat traffic.
+func (f *chatFleet) runWithTraffic(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.endChats()
 		for _, name := range f.names() {
-			for n := f.perSecond * TickInterval.Seconds(); n > 0; n-- {
+			for n := f.requestsPerSecond * TickInterval.Seconds(); n > 0; n-- {
 				if f.random.Float64() < n {
-					f.ask(name)
+					f.sendChat(name)
 				}
 			}
 		}
@@ -118,21 +118,21 @@
 }
 
 func (f *chatFleet) endChats() {
-	unfinished := f.ends[:0]
-	for _, e := range f.ends {
+	unfinished := f.pendingEnds[:0]
+	for _, e := range f.pendingEnds {
 		if f.now.Before(e.at) {
 			unfinished = append(unfinished, e)
 			continue
 		}
 		f.inFlight[e.attempt.Backend]--
-		f.inbox[e.by] = append(f.inbox[e.by], AttemptEnded{
+		f.inbox[e.instance] = append(f.inbox[e.instance], AttemptEnded{
 			Request: e.attempt.Request, Attempt: e.attempt.Attempt, Outcome: retry.Answered, Load: f.report(e.attempt.Backend),
 		})
 	}
-	f.ends = unfinished
+	f.pendingEnds = unfinished
 }
 
-func (f *chatFleet) ask(name string) {
+func (f *chatFleet) sendChat(name string) {
 	f.requests++
 	f.handle(name, RequestArrived{
 		Request: RequestID(fmt.Sprint("r", f.requests)), Customer: fmt.Sprint("customer-", f.random.IntN(f.customers)),
@@ -144,27 +144,27 @@
 // chats it must stay below a fifth of that, in a small fleet and in a small zone.
 func TestControlTrafficStaysInBudget(t *testing.T) {
 	for _, size := range []trafficSize{
-		{name: "eight instances in three zones", instances: 8, zones: 3, engines: 15, services: 2, customers: 10, perSecond: 2, most: 1100},
-		{name: "a zone of fifteen", instances: 15, zones: 1, engines: 38, services: 27, customers: 100, perSecond: 37, most: 1000},
+		{name: "eight instances in three zones", instances: 8, zones: 3, engines: 15, services: 2, customers: 10, requestsPerSecond: 2, maxBytesPerSecond: 1100},
+		{name: "a zone of fifteen", instances: 15, zones: 1, engines: 38, services: 27, customers: 100, requestsPerSecond: 37, maxBytesPerSecond: 1000},
 	} {
-		most := busiest(t, size)
+		most := busiestRate(t, size)
 		t.Logf("%s: %d bytes per second at the busiest instance", size.name, most)
-		require.Less(t, most, size.most, size.name)
-		require.Equal(t, most, busiest(t, size), "the simulation must be deterministic")
+		require.Less(t, most, size.maxBytesPerSecond, size.name)
+		require.Equal(t, most, busiestRate(t, size), "the simulation must be deterministic")
 	}
 }
 
-// busiest returns the highest control traffic of any instance, in bytes per second.
-func busiest(t *testing.T, size trafficSize) int {
+// busiestRate returns the highest control traffic of any instance, in bytes per second.
+func busiestRate(t *testing.T, size trafficSize) int {
 	f := newChatFleet(t, size)
 	f.run(5 * time.Second)
-	f.serve(25 * time.Second)
-	clear(f.spent)
+	f.runWithTraffic(25 * time.Second)
+	clear(f.trafficBytes)
 	const seconds = 40
-	f.serve(seconds * time.Second)
+	f.runWithTraffic(seconds * time.Second)
 	require.Zero(t, f.refused, size.name)
 	most := 0
-	for _, spent := range f.spent {
+	for _, spent := range f.trafficBytes {
 		most = max(most, spent/seconds)
 	}
 	return most
--- a/internal/core/wiresize.go
+++ b/internal/core/wiresize.go
@@ -11,18 +11,18 @@
 // Approximate sizes in bytes of the encoding in package peer. A test in that package
 // compares the estimate with the encoded size.
 const (
-	sizeFrame   = 12 + 1 + 2
-	sizeDigest  = 5
-	sizeList    = 3
-	sizeLoad    = 2
-	sizeReport  = 16
-	sizeFact    = 16
-	sizeMember  = 60
-	sizeEntry   = 70
-	sizeAnswers = 8
-	sizeLoss    = 8
-	sizeClaim   = 34
-	deflateGain = 8
+	sizeFrame    = 12 + 1 + 2
+	sizeDigest   = 5
+	sizeList     = 3
+	sizeLoad     = 2
+	sizeReport   = 16
+	sizeFact     = 16
+	sizeMember   = 60
+	sizeEntry    = 70
+	sizeAnswers  = 8
+	sizeLoss     = 8
+	sizeClaim    = 34
+	deflateRatio = 8
 	// sizePoll is half of the bytes that polling a load report takes in both directions:
 	// about 400 bytes of HTTP headers and a short body.
 	sizePoll = 200
@@ -38,7 +38,7 @@
 	}
 	switch {
 	case m.ConfigOffer != nil:
-		size += len(m.ConfigOffer.Envelope.Text) / deflateGain
+		size += len(m.ConfigOffer.Envelope.Text) / deflateRatio
 	case m.EntriesOffer != nil:
 		size += sizeEntry * len(m.EntriesOffer.Entries)
 	case m.Claim != nil, m.ClaimReply != nil:
@@ -47,10 +47,10 @@
 	return size
 }
 
-// answersAPeer reports whether the message is a reply to a peer's request. Replies are not
+// isReply reports whether the message is a reply to a peer's request. Replies are not
 // charged to the traffic budget: longer digest rounds would not reduce them, and later
 // load updates must not be cut to pay for them.
-func (m PeerMessage) answersAPeer() bool { return m.ConfigOffer != nil || m.EntriesOffer != nil }
+func (m PeerMessage) isReply() bool { return m.ConfigOffer != nil || m.EntriesOffer != nil }
 
 // loadsEstimate returns the approximate encoded size of the digest's loads and reports.
 func (d *Digest) loadsEstimate() int {
--- a/internal/core/zoneloads_test.go
+++ b/internal/core/zoneloads_test.go
@@ -16,10 +16,10 @@
 
 // Guards against an instance that knows the loads of its own zone only and takes an engine
 // that other zones have filled for idle.
-func TestEveryInstanceLearnsTheLoadsOfAllZones(t *testing.T) {
+func TestInstancesReceiveLoadsOfAllZones(t *testing.T) {
 	for _, size := range []struct{ instances, zones int }{{11, 3}, {24, 5}, {80, 4}} {
 		f := newPeerFleet(t, size.instances, size.zones)
-		f.tellFarLoads()
+		f.exchangeZoneLoads()
 		f.requireExactAfterTraffic()
 	}
 }
@@ -27,44 +27,44 @@
 // Guards against missing loads of other zones. An instance that had restarted and had no
 // session yet sent its row no loads of other zones, although it aggregates a part of the
 // engines' loads for the row.
-func TestOneZoneWithSessionsMakesAllTellTheirLoads(t *testing.T) {
+func TestSessionsInOneZoneMakeAllZonesExchangeLoads(t *testing.T) {
 	f := newPeerFleet(t, 24, 5)
 	for _, n := range f.nodes {
-		n.peers.farLoads = n.settings.Zone == "zone-0"
+		n.peers.crossZoneLoads = n.settings.Zone == "zone-0"
 	}
 	f.requireExactAfterTraffic()
 }
 
-// coldText configures engines for requests that describe their prompts, and a plain service.
-const coldText = `{
+// coldFleetText configures engines for requests that describe their prompts, and a plain service.
+const coldFleetText = `{
   "services": [{"name": "engines", "kind": "model", "from_platform": true, "skew_bound": 2, "skew_slack": 3, "capacity": 128},
     {"name": "portal", "kind": "plain", "from_platform": true, "skew_bound": 2, "skew_slack": 3}],
   "customers": [{"name": "farm"}],
 }`
 
-const coldEngines, portals = 60, 4
+const coldEngineCount, portalCount = 60, 4
 
-// coldEnginesFleet returns a fleet in several zones whose engines have not reported any load
-// yet.
-func coldEnginesFleet(t *testing.T, instances, zones int) *peerFleet {
+// newColdEngineFleet returns a fleet in several zones whose engines have not reported any
+// load yet.
+func newColdEngineFleet(t *testing.T, instances, zones int) *peerFleet {
 	f := newPeerFleet(t, instances, zones)
-	for i := range coldEngines {
-		f.listed = append(f.listed, membership.Instance{
-			Name: fmt.Sprint("engine-", i), Role: membership.Backend, Service: "engines", Zone: fmt.Sprint("zone-", i%zones),
+	for i := range coldEngineCount {
+		f.listed = append(f.listed, membership.Member{
+			Name: fmt.Sprint("engine-", i), Role: membership.RoleBackend, Service: "engines", Zone: fmt.Sprint("zone-", i%zones),
 			Address: "127.0.0.1:9", Incarnation: 1, State: membership.Live,
 		})
 	}
-	for i := range portals {
-		f.listed = append(f.listed, membership.Instance{
-			Name: fmt.Sprint("portal-", i), Role: membership.Backend, Service: "portal", Zone: fmt.Sprint("zone-", i%zones),
+	for i := range portalCount {
+		f.listed = append(f.listed, membership.Member{
+			Name: fmt.Sprint("portal-", i), Role: membership.RoleBackend, Service: "portal", Zone: fmt.Sprint("zone-", i%zones),
 			Address: "127.0.0.1:9", Incarnation: 1, State: membership.Live, Slots: 6,
 		})
 	}
 	for _, name := range f.names() {
 		f.nodes[name].settings.NoPolls = true
-		f.handle(name, ConfigOffered{Envelope: config.Envelope{Generation: 1, Edit: "first", Text: coldText}})
+		f.handle(name, ConfigOffered{Envelope: config.Envelope{Generation: 1, Edit: "first", Text: coldFleetText}})
 	}
-	f.tellFarLoads()
+	f.exchangeZoneLoads()
 	f.run(3 * time.Second)
 	return f
 }
@@ -78,15 +78,15 @@
 	}
 }
 
-// homedAt returns a session for which the engine ranks first.
-func homedAt(engine string) string {
+// sessionPreferring returns a session for which the engine ranks first.
+func sessionPreferring(engine string) string {
 	var names []string
-	for i := range coldEngines {
+	for i := range coldEngineCount {
 		names = append(names, fmt.Sprint("engine-", i))
 	}
 	for i := 0; ; i++ {
 		session := fmt.Sprint("digester-", i)
-		if rendezvous.Top(rendezvous.HashOf("farm", session), names, 1)[0] == engine {
+		if rendezvous.Top(rendezvous.HashPair("farm", session), names, 1)[0] == engine {
 			return session
 		}
 	}
@@ -95,23 +95,23 @@
 // Guards against an overloaded engine in a fleet that has just started. Requests went to
 // engines with over twice the mean load: an engine that prefills one prompt after the other
 // sends no answers, and so reports no load.
-func TestAnEngineThatAnswersNobodyIsNotSentMoreThanItsBound(t *testing.T) {
+func TestSilentEngineStaysWithinLoadBound(t *testing.T) {
 	const mean, crowd = 4, 16
-	f := coldEnginesFleet(t, 80, 4)
+	f := newColdEngineFleet(t, 80, 4)
 	names := f.names()
 	r := rand.New(rand.NewPCG(1, 1))
-	for i := range coldEngines {
+	for i := range coldEngineCount {
 		requests := mean
 		if i == 0 {
 			requests = crowd
 		}
 		for range requests {
-			f.nodes[names[r.IntN(len(names))]].loadSent(fmt.Sprint("engine-", i))
+			f.nodes[names[r.IntN(len(names))]].countRequestSent(fmt.Sprint("engine-", i))
 		}
 	}
 	f.run(2 * time.Second)
-	session := homedAt("engine-0")
-	for i := 1; i < coldEngines; i++ {
+	session := sessionPreferring("engine-0")
+	for i := 1; i < coldEngineCount; i++ {
 		f.reportToAll(fmt.Sprint("engine-", i), mean)
 	}
 	for _, name := range names {
@@ -119,18 +119,18 @@
 			Request: RequestID(name), Customer: "farm", Service: "engines", Chat: session,
 			Prompt: &Prompt{Tokens: 9000, Parts: []PromptPart{{ID: session, Tokens: 8500}, {ID: name, Tokens: 500}}},
 		})
-		require.NotEqual(t, "engine-0", sent.Backend, "%d requests there, %d at each other engine; %s estimates %.1f", crowd, mean, name, sent.Basis.Load)
+		require.NotEqual(t, "engine-0", sent.Backend, "%d requests there, %d at each other engine; %s estimates %.1f", crowd, mean, name, sent.Selection.Load)
 	}
 }
 
 // Guards against overloading a server of a plain service that hangs. It reports no load, so
 // it looked idle, and all instances of a large fleet sent it requests until each of them
 // alone had filled it.
-func TestAPlainServerThatAnswersNobodyIsFilledOnce(t *testing.T) {
+func TestHungPlainServerIsFilledOnce(t *testing.T) {
 	const hung = "portal-0"
-	f := coldEnginesFleet(t, 80, 4)
+	f := newColdEngineFleet(t, 80, 4)
 	names := f.names()
-	for i := range portals {
+	for i := range portalCount {
 		f.reportToAll(fmt.Sprint("portal-", i), 2)
 	}
 	// Four seconds at 60 requests per second. The other servers answer within a tick.
@@ -151,5 +151,5 @@
 	}
 	// Its capacity is twelve requests. Its part of half a second's requests arrives before
 	// the loads do.
-	require.LessOrEqual(t, hungRequests, 12+60/portals/2)
+	require.LessOrEqual(t, hungRequests, 12+60/portalCount/2)
 }
--- a/internal/daemon/executor.go
+++ b/internal/daemon/executor.go
@@ -36,11 +36,11 @@
 		x.links.Set(e.Peers)
 	case core.SendPeer:
 		x.links.Send(e.To, e.Message)
-	case core.ConfigTaken:
+	case core.ConfigApplied:
 		x.proxy.Log("configuration in force", "generation", e.Generation, "edit", e.Edit)
 	case core.ConfigRefused:
 		x.proxy.Log("configuration refused", "generation", e.Generation, "findings", e.Findings.Error())
-	case core.Learned:
+	case core.StateChanged:
 		x.proxy.Log("learned", "subject", e.Subject, "name", e.Name, "names", e.Names, "state", e.State, "service", e.Service,
 			"address", e.Address, "revision", e.Revision, "incarnation", e.Incarnation, "cause", e.Cause)
 	case core.SetReady:
--- a/internal/daemon/metered.go
+++ b/internal/daemon/metered.go
@@ -35,7 +35,7 @@
 	switch e := effect.(type) {
 	case core.Counted:
 		m.metrics.Count(e.Counter, e.Label, e.N)
-	case core.ConfigTaken:
+	case core.ConfigApplied:
 		m.metrics.Generation(e.Generation)
 	case core.SetReady:
 		m.metrics.Ready(e.Ready)
--- a/internal/daemon/storecalls.go
+++ b/internal/daemon/storecalls.go
@@ -317,8 +317,8 @@
 			return listed, err
 		}
 		for _, i := range page.Items {
-			var in membership.Instance
-			if err := json.Unmarshal(i.Value, &in); err != nil || in.Role != membership.Entry {
+			var in membership.Member
+			if err := json.Unmarshal(i.Value, &in); err != nil || in.Role != membership.RoleInstance {
 				klog.InfoS("entry names no instance", "key", i.Key, "error", err)
 				continue
 			}
--- a/internal/measure/baselines.go
+++ b/internal/measure/baselines.go
@@ -156,7 +156,7 @@
 	}
 	chat := rendezvous.Hash(t.chat.id)
 	choice := routing.Choice{Chat: chat, Hinted: routing.None}
-	choice.Limits = routing.LimitsFor(b.w.Bound, total, len(b.list), chat, routing.Unhinted)
+	choice.Limits = routing.ChatLimits(b.w.Bound, total, len(b.list), chat, routing.Unhinted)
 	return max(0, routing.Pick(b.candidates, &choice))
 }
 
--- a/internal/measure/engine.go
+++ b/internal/measure/engine.go
@@ -57,7 +57,7 @@
 	incarnation uint64
 	state       membership.State
 	// listed is what the platform's late list says.
-	listed  membership.Instance
+	listed  membership.Member
 	speed   EngineSpeed
 	cache   *prefixCache
 	running []*turn
@@ -75,9 +75,9 @@
 // reported is the load as the engine's own late report tells it.
 func (s *server) reported() int { return s.history[s.next] }
 
-func (s *server) instance() membership.Instance {
-	return membership.Instance{
-		Name: s.name, Role: membership.Backend, Service: serviceName, Zone: s.zone, Address: s.name,
+func (s *server) instance() membership.Member {
+	return membership.Member{
+		Name: s.name, Role: membership.RoleBackend, Service: serviceName, Zone: s.zone, Address: s.name,
 		Incarnation: s.incarnation, State: s.state,
 	}
 }
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -160,8 +160,8 @@
 }
 
 // list is the platform's lagging list.
-func (f *fleet) list() []membership.Instance {
-	list := make([]membership.Instance, 0, len(f.w.servers)+len(f.processes))
+func (f *fleet) list() []membership.Member {
+	list := make([]membership.Member, 0, len(f.w.servers)+len(f.processes))
 	for _, s := range f.w.servers {
 		list = append(list, s.listed)
 	}
@@ -170,8 +170,8 @@
 		if p.retired {
 			state = membership.Leaving
 		}
-		list = append(list, membership.Instance{
-			Name: p.name, Role: membership.Entry, Zone: p.zone, Address: p.name, Incarnation: p.incarnation, State: state,
+		list = append(list, membership.Member{
+			Name: p.name, Role: membership.RoleInstance, Zone: p.zone, Address: p.name, Incarnation: p.incarnation, State: state,
 		})
 	}
 	return list
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -241,7 +241,7 @@
 
 func (w *world) limit() float64 {
 	total, _, n := w.live()
-	return routing.Limit(w.Bound, float64(total), n)
+	return routing.Bound(w.Bound, float64(total), n)
 }
 
 type event struct {
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -96,8 +96,8 @@
 			Backend: backend, Incarnation: 7, State: membership.Leaving, InFlight: 3, At: at.Add(-time.Second),
 		})
 		d.Facts = append(d.Facts, membership.Fact{Name: backend, Incarnation: 9, State: membership.Gone})
-		d.Members = append(d.Members, membership.Instance{
-			Name: backend, Role: membership.Entry, Zone: "z", Address: "127.0.0.1:1", State: membership.Live,
+		d.Members = append(d.Members, membership.Member{
+			Name: backend, Role: membership.RoleInstance, Zone: "z", Address: "127.0.0.1:1", State: membership.Live,
 		})
 	}
 	return d
@@ -143,7 +143,7 @@
 		v.Set(reflect.ValueOf(1500 * time.Millisecond))
 		return
 	case membership.Role:
-		v.SetString(string(membership.Entry))
+		v.SetString(string(membership.RoleInstance))
 		return
 	case claims.Verdict:
 		v.SetString(string(claims.Full))
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -254,24 +254,24 @@
 	return nil
 }
 
-func (d *Decoder) member(m *peerpb.Member) (membership.Instance, error) {
+func (d *Decoder) member(m *peerpb.Member) (membership.Member, error) {
 	name, err := d.name(m.Name)
 	if err != nil {
-		return membership.Instance{}, err
+		return membership.Member{}, err
 	}
 	service, err := d.name(m.Service)
 	if err != nil {
-		return membership.Instance{}, err
+		return membership.Member{}, err
 	}
 	zone, err := d.name(m.Zone)
 	if err != nil {
-		return membership.Instance{}, err
+		return membership.Member{}, err
 	}
-	role := membership.Backend
+	role := membership.RoleBackend
 	if m.Entry {
-		role = membership.Entry
+		role = membership.RoleInstance
 	}
-	return membership.Instance{
+	return membership.Member{
 		Name: name, Role: role, Service: service, Zone: zone, Address: m.Address,
 		Slots: int(m.Slots), Incarnation: m.Incarnation, State: states[m.State],
 	}, nil
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -238,10 +238,10 @@
 	}
 }
 
-func (e *Encoder) member(in membership.Instance) *peerpb.Member {
+func (e *Encoder) member(in membership.Member) *peerpb.Member {
 	return &peerpb.Member{
 		Name:        e.id(in.Name),
-		Entry:       in.Role == membership.Entry,
+		Entry:       in.Role == membership.RoleInstance,
 		Service:     e.id(in.Service),
 		Zone:        e.id(in.Zone),
 		Address:     in.Address,
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -86,15 +86,15 @@
 	x := a.exchange
 	c := &call{
 		deadline:   x.server.localTime(e.Deadline),
-		first:      e.FirstWithin,
+		first:      e.FirstByteTimeout,
 		inactivity: x.server.options.Inactivity,
 		dial:       x.server.options.DialTimeout << min(e.Attempt-1, maxDialDoublings),
 		zone:       x.server.zones.of(e.Zone),
 		now:        x.server.options.Now,
 		count:      x.server.options.Metrics.Dialled,
 	}
-	if e.Stall > 0 {
-		c.inactivity = e.Stall
+	if e.StallTimeout > 0 {
+		c.inactivity = e.StallTimeout
 	}
 	req.SetUserValue(callKey, c)
 	a.call, a.resp = c, fasthttp.AcquireResponse()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -133,7 +133,7 @@
 func (x *exchange) finish(e core.Finish) {
 	x.answer.abandon()
 	x.leave()
-	if e.PassOn && x.answer.failure != nil {
+	if e.ForwardFailure && x.answer.failure != nil {
 		x.answer.failure.write(x)
 		return
 	}
--- a/internal/proxy/log_test.go
+++ b/internal/proxy/log_test.go
@@ -41,7 +41,7 @@
 	for age, want := range map[time.Duration]int64{-1: -1, 0: 0, 1500 * time.Millisecond: 1500} {
 		q := &logQueue{lines: make(chan logLine, 1)}
 		s := &Server{log: q, options: Options{Now: time.Now}}
-		s.logAttempt(&core.SendAttempt{Basis: core.Basis{ReportAge: age}})
+		s.logAttempt(&core.SendAttempt{Selection: core.SelectionInputs{ReportAge: age}})
 		line := <-q.lines
 		at := slices.Index(line.keysAndValues, any("reportAgeMs"))
 		require.GreaterOrEqual(t, at, 0)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -196,8 +196,8 @@
 	s.mu.Unlock()
 	switch e := effect.(type) {
 	case core.SendAttempt:
-		if e.Why != reason.None {
-			s.options.Metrics.Retried(e.Why)
+		if e.RetryReason != reason.None {
+			s.options.Metrics.Retried(e.RetryReason)
 		}
 		s.logAttempt(&e)
 	case core.Finish:
@@ -214,9 +214,9 @@
 
 // logAttempt tells where a request goes and what that choice rested on.
 func (s *Server) logAttempt(e *core.SendAttempt) {
-	b := &e.Basis
+	b := &e.Selection
 	s.log.put("attempt", "request", e.Request, "attempt", e.Attempt, "backend", e.Backend, "address", e.Address,
-		"why", e.Why, "customer", e.Customer, "leftMs", e.Deadline.Sub(s.options.Now()).Milliseconds(),
+		"why", e.RetryReason, "customer", e.Customer, "leftMs", e.Deadline.Sub(s.options.Now()).Milliseconds(),
 		"resumeAfter", e.ResumeAfter, "source", e.Source, "generation", b.Generation, "revision", b.Revision,
 		"session", b.Session, "load", b.Load, "own", b.Parts.Own, "peers", b.Parts.Peers, "unseen", b.Parts.Unseen,
 		"average", b.Parts.Average, "mean", b.Mean, "limit", b.Limit, "reportAgeMs", ageMillis(b.ReportAge),
@@ -237,7 +237,7 @@
 	s.log.put("request ended without an answer", "request", e.Request, "outcome", e.Outcome,
 		"reason", e.Reason, "customer", e.Customer, "service", e.Service,
 		"backend", e.Backend, "attempt", e.Attempt, "retryAfterMs", e.RetryAfter.Milliseconds(),
-		"passedOn", e.PassOn, "load", e.Fill.Load, "capacity", e.Fill.Capacity, "servers", e.Fill.Servers,
+		"passedOn", e.ForwardFailure, "load", e.Utilization.Load, "capacity", e.Utilization.Capacity, "servers", e.Utilization.Servers,
 		"detail", detail)
 }
 
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -215,8 +215,8 @@
 		if r := f.links[zone][i.name]; r != nil {
 			address = r.Address()
 		}
-		value, err := json.Marshal(membership.Instance{
-			Name: i.name, Role: membership.Entry, Zone: i.zone, Address: address,
+		value, err := json.Marshal(membership.Member{
+			Name: i.name, Role: membership.RoleInstance, Zone: i.zone, Address: address,
 			Incarnation: 1, State: membership.Live,
 		})
 		require.NoError(f.t, err)
