--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -14,27 +14,30 @@
 )
 
 const (
-	// maxDialDoublings bounds how often the wait for a connection is doubled. The first
-	// attempt of a request waits shortly, for another server most likely answers; if the
-	// whole network is slow, the later ones have the time.
+	// maxDialDoublings bounds how often the dial timeout is doubled. The first attempt
+	// of a request has a short timeout, because another server most likely responds
+	// sooner; if the whole network is slow, later attempts have enough time.
 	maxDialDoublings = 3
-	// wholeBody is the largest answer that is read to its end before the caller
-	// gets its first byte, so that a cut one can still be asked for again.
+	// wholeBody is the size limit in bytes up to which a response is buffered whole
+	// before the caller receives its first byte, so that a truncated response can
+	// still be retried.
 	wholeBody  = 64 << 10
 	copyBuffer = 4096
-	// endWait is how long the framing's end may follow the stream's end mark.
+	// endWait limits the wait for the end of the HTTP framing after the stream's
+	// end mark.
 	endWait = 100 * time.Millisecond
-	// maxRefusalBody is what is read of a refusal to keep its connection.
+	// maxRefusalBody limits the bytes that are read from the body of a refusal so
+	// that its connection can be reused.
 	maxRefusalBody = 4096
 )
 
 const eventStream = "text/event-stream"
 
 var (
-	errStreamLost = errors.New("proxy: the engine does not know the stream")
-	errRefused    = errors.New("proxy: refused by the backend server")
-	errFailed     = errors.New("proxy: the backend server answered with a failure")
-	errForeign    = errors.New("proxy: not the backend server's answer to this request")
+	errStreamLost = errors.New("proxy: engine no longer holds the stream")
+	errRefused    = errors.New("proxy: request refused by the backend server")
+	errFailed     = errors.New("proxy: backend server returned a failure")
+	errForeign    = errors.New("proxy: response does not belong to this request")
 )
 
 // stream identifies a resumable stream of one incarnation of an engine.
@@ -44,8 +47,8 @@
 	incarnation string
 }
 
-// answer is the answer to one request, over all its attempts. It is the reader
-// that the HTTP library sends the caller's body from.
+// answer is the response to one request, across all of its attempts. The HTTP
+// library reads the body for the caller from it.
 type answer struct {
 	exchange *exchange
 	send     core.SendAttempt
@@ -53,37 +56,37 @@
 	resp     *fasthttp.Response
 	head     Head
 	load     *membership.Report
-	// failure is the backend server's own answer that says it failed, held until it
-	// is known that no other attempt brings a better one.
+	// failure is a failure response of the backend server. It is held until no
+	// further attempt can return a better response.
 	failure *heldAnswer
-	// events is nil when the answer is framed by HTTP alone.
+	// events is nil if the body is not a stream of server-sent events.
 	events   *eventReader
 	sequence sequence
 	stream   stream
 
-	// pending is what the caller has yet to read.
+	// pending holds bytes that the caller has not read yet.
 	pending []byte
 	buffer  []byte
-	// dialled is why the last call opened a connection, if it did.
+	// dialled is the reason why the last call opened a connection, if it did.
 	dialled DialReason
-	// status is that of the last call's answer, 0 if none began.
+	// status is the status code of the last call's response, or 0 if none was received.
 	status int
-	// begun is set once the answer's header is the caller's.
+	// begun is set once the response header has been passed to the caller.
 	begun bool
-	// whole is set once the answer's own end was read.
+	// whole is set once the end of the response has been read.
 	whole bool
-	// failed is the error in which a broken answer ends.
+	// failed is the error that Read returns after pending, if the response is broken.
 	failed error
 	first  time.Duration
 }
 
-// open carries out one attempt up to the first byte of its answer. If that fails
-// it reports the attempt's end and returns false.
-func (a *answer) open(e core.SendAttempt) bool {
-	a.send = e
-	req, resume := a.request(&e)
+// open performs one attempt up to the first byte of its response. If that fails,
+// it reports the end of the attempt and returns false.
+func (r *answer) open(e core.SendAttempt) bool {
+	r.send = e
+	req, resume := r.request(&e)
 	defer fasthttp.ReleaseRequest(req)
-	x := a.exchange
+	x := r.exchange
 	c := &call{
 		deadline:   x.server.localTime(e.Deadline),
 		first:      e.FirstByteTimeout,
@@ -97,166 +100,169 @@
 		c.inactivity = e.StallTimeout
 	}
 	req.SetUserValue(callKey, c)
-	a.call, a.resp = c, fasthttp.AcquireResponse()
+	r.call, r.resp = c, fasthttp.AcquireResponse()
 	x.enter(e.Attempt, c)
-	err := x.server.backends.Do(req, a.resp)
-	a.dialled, a.status = c.dialled, 0
+	err := x.server.backends.Do(req, r.resp)
+	r.dialled, r.status = c.dialled, 0
 	if err != nil {
-		a.lost(outcomeOf(c), "", err)
+		r.lost(outcomeOf(c), "", err)
 		return false
 	}
-	a.status = a.resp.StatusCode()
+	r.status = r.resp.StatusCode()
 	options := &x.server.options
-	a.head = options.Dialect.ReadHead(&a.resp.Header, x.request, &e, options.Now())
-	c.unframed = a.head.Unframed
-	a.load = a.head.Load
+	r.head = options.Dialect.ReadHead(&r.resp.Header, x.request, &e, options.Now())
+	c.unframed = r.head.Unframed
+	r.load = r.head.Load
 	if resume {
-		return a.resumed()
+		return r.resumed()
 	}
-	return a.started()
+	return r.started()
 }
 
-// request builds the request that begins or resumes the answer.
-func (a *answer) request(e *core.SendAttempt) (req *fasthttp.Request, resume bool) {
-	if e.ResumeAfter != "" && a.stream.id != "" {
+// request builds the request of an attempt, which starts or resumes the response.
+func (r *answer) request(e *core.SendAttempt) (req *fasthttp.Request, resume bool) {
+	if e.ResumeAfter != "" && r.stream.id != "" {
 		req = fasthttp.AcquireRequest()
-		req.SetRequestURI(streamURL(a.stream))
+		req.SetRequestURI(streamURL(r.stream))
 		req.Header.Set(HeaderLastEventID, e.ResumeAfter)
-		req.Header.Set(HeaderRequestID, string(a.exchange.id))
+		req.Header.Set(HeaderRequestID, string(r.exchange.id))
 		return req, true
 	}
-	a.abandon()
+	r.abandon()
 	if e.ResumeAfter == "" {
-		a.sequence = sequence{last: a.exchange.request.Since}
+		r.sequence = sequence{last: r.exchange.request.Since}
 	}
-	return a.exchange.newRequest(e), false
+	return r.exchange.newRequest(e), false
 }
 
 func streamURL(s stream) string {
 	return "http://" + s.address + "/v1/streams/" + url.PathEscape(s.id)
 }
 
-// started takes the header of an attempt that is no resumption in place, and waits
-// for the first byte, unless the caller has that already.
-func (a *answer) started() bool {
-	switch a.head.Verdict {
+// started handles the header of an attempt that does not resume a stream. It waits
+// for the first byte, unless the caller has received the first byte already.
+func (r *answer) started() bool {
+	switch r.head.Verdict {
 	case NotStarted:
-		_, err := io.CopyN(io.Discard, a.call, maxRefusalBody)
-		a.closeCall(errors.Is(err, io.EOF))
-		a.end(core.AttemptEnded{Outcome: retry.Refused, RetryAfter: a.head.RetryAfter}, errRefused)
+		_, err := io.CopyN(io.Discard, r.call, maxRefusalBody)
+		r.closeCall(errors.Is(err, io.EOF))
+		r.end(core.AttemptEnded{Outcome: retry.Refused, RetryAfter: r.head.RetryAfter}, errRefused)
 		return false
 	case Failure:
-		a.holdFailure()
+		r.holdFailure()
 		return false
 	case Foreign:
-		a.lost(retry.Spoiled, "", errForeign)
+		r.lost(retry.Spoiled, "", errForeign)
 		return false
 	}
-	if a.head.Events {
-		a.stream = stream{address: a.send.Address, id: a.head.StreamID, incarnation: a.head.Incarnation}
-		a.events = newEventReader(a.call)
-		if a.begun {
+	if r.head.Events {
+		r.stream = stream{address: r.send.Address, id: r.head.StreamID, incarnation: r.head.Incarnation}
+		r.events = newEventReader(r.call)
+		if r.begun {
 			return true
 		}
-		return a.fill(a.firstEvent())
+		return r.fill(r.firstEvent())
 	}
-	if a.begun {
-		a.lost(retry.Spoiled, "", errForeign)
+	if r.begun {
+		r.lost(retry.Spoiled, "", errForeign)
 		return false
 	}
-	return a.fill(a.firstBytes())
+	return r.fill(r.firstBytes())
 }
 
-// resumed checks that the stream goes on where it broke: the same stream of the
-// same incarnation. Anything else would splice two outputs.
-func (a *answer) resumed() bool {
-	same := a.resp.StatusCode() == fasthttp.StatusOK && a.head.Events &&
-		a.head.StreamID == a.stream.id && a.head.Incarnation == a.stream.incarnation
+// resumed handles the header of an attempt that resumes a stream. It checks that the
+// engine continues the same stream of the same incarnation; any other stream would
+// join two different outputs.
+func (r *answer) resumed() bool {
+	same := r.resp.StatusCode() == fasthttp.StatusOK && r.head.Events &&
+		r.head.StreamID == r.stream.id && r.head.Incarnation == r.stream.incarnation
 	if !same {
-		a.stream = stream{}
-		a.lost(retry.Broken, "", errStreamLost)
+		r.stream = stream{}
+		r.lost(retry.Broken, "", errStreamLost)
 		return false
 	}
-	a.events = newEventReader(a.call)
-	if a.begun {
+	r.events = newEventReader(r.call)
+	if r.begun {
 		return true
 	}
-	return a.fill(a.firstEvent())
+	return r.fill(r.firstEvent())
 }
 
-// begin gives the caller the answer's header; the HTTP library then reads the
-// body from a.
-func (a *answer) begin() {
-	x := a.exchange
+// begin passes the response header to the caller. The HTTP library then reads the
+// body from r.
+func (r *answer) begin() {
+	x := r.exchange
 	out := &x.ctx.Response
-	x.server.options.Dialect.WriteHead(&out.Header, &a.resp.Header, x.request, &a.send)
-	out.SetStatusCode(a.resp.StatusCode())
-	a.begun = true
-	if !a.whole {
-		x.server.post(core.AnswerStarted{Request: x.id, Attempt: a.send.Attempt, Load: a.load})
-		a.load = nil
+	x.server.options.Dialect.WriteHead(&out.Header, &r.resp.Header, x.request, &r.send)
+	out.SetStatusCode(r.resp.StatusCode())
+	r.begun = true
+	if !r.whole {
+		x.server.post(core.AnswerStarted{Request: x.id, Attempt: r.send.Attempt, Load: r.load})
+		r.load = nil
 	}
 	size := -1
-	if length := a.resp.Header.ContentLength(); length >= 0 && a.events == nil {
+	if length := r.resp.Header.ContentLength(); length >= 0 && r.events == nil {
 		size = length
 	}
-	out.SetBodyStream(a, size)
+	out.SetBodyStream(r, size)
 }
 
-func (a *answer) fail(e core.Finish) {
-	a.abandon()
-	a.failed = finishReason(e)
-	if a.events != nil {
-		x := a.exchange
-		a.pending = x.server.options.Dialect.BrokenEvent(x.request, &e)
+// fail ends the body early with an error, and an event stream with an error event.
+func (r *answer) fail(e core.Finish) {
+	r.abandon()
+	r.failed = finishReason(e)
+	if r.events != nil {
+		x := r.exchange
+		r.pending = x.server.options.Dialect.BrokenEvent(x.request, &e)
 	}
 }
 
-// lost reports an attempt that ended without the whole answer.
-func (a *answer) lost(outcome retry.Outcome, resumeAfter string, err error) {
-	a.closeCall(false)
-	a.end(core.AttemptEnded{Outcome: outcome, LastEventID: resumeAfter}, err)
+// lost closes the call and reports an attempt that ended without a whole response.
+func (r *answer) lost(outcome retry.Outcome, resumeAfter string, err error) {
+	r.closeCall(false)
+	r.end(core.AttemptEnded{Outcome: outcome, LastEventID: resumeAfter}, err)
 }
 
-func (a *answer) end(event core.AttemptEnded, err error) {
-	event.Attempt = a.send.Attempt
-	event.Load = a.load
-	a.load = nil
-	a.exchange.ended(event, err)
+// end reports the end of the attempt to the core.
+func (r *answer) end(event core.AttemptEnded, err error) {
+	event.Attempt = r.send.Attempt
+	event.Load = r.load
+	r.load = nil
+	r.exchange.ended(event, err)
 }
 
-// Close is called by the HTTP library when the body is written, or cannot be
-// because the caller has gone.
-func (a *answer) Close() error {
-	x := a.exchange
+// Close is called by the HTTP library when the body has been written, or when it
+// cannot be written because the caller has disconnected.
+func (r *answer) Close() error {
+	x := r.exchange
 	switch {
-	case a.whole:
-		a.closeCall(a.readEnd())
-		x.server.options.Metrics.Answered(x.request.target(), a.first, time.Since(x.begun))
-	case a.failed == nil:
+	case r.whole:
+		r.closeCall(r.readEnd())
+		x.server.options.Metrics.Answered(x.request.target(), r.first, time.Since(x.begun))
+	case r.failed == nil:
 		x.server.post(core.CallerGone{Request: x.id})
-		a.abandon()
-		a.lost(retry.Broken, "", io.ErrClosedPipe)
+		r.abandon()
+		r.lost(retry.Broken, "", io.ErrClosedPipe)
 	}
 	x.leave()
 	return nil
 }
 
-// abandon stops the engine's work on a stream that nobody reads any more.
-func (a *answer) abandon() {
-	if a.stream.id != "" && !a.whole {
-		a.exchange.server.engine.cancel(a.stream)
+// abandon cancels the stream at the engine if it is not complete.
+func (r *answer) abandon() {
+	if r.stream.id != "" && !r.whole {
+		r.exchange.server.engine.cancel(r.stream)
 	}
-	a.stream = stream{}
+	r.stream = stream{}
 }
 
-// closeCall ends the running call and its hold on the connection.
-func (a *answer) closeCall(whole bool) {
-	if a.call == nil {
+// closeCall ends the running call and releases its connection.
+func (r *answer) closeCall(whole bool) {
+	if r.call == nil {
 		return
 	}
-	a.call.close(whole)
-	a.call = nil
-	fasthttp.ReleaseResponse(a.resp)
-	a.resp = nil
+	r.call.close(whole)
+	r.call = nil
+	fasthttp.ReleaseResponse(r.resp)
+	r.resp = nil
 }
--- a/internal/proxy/answerbody.go
+++ b/internal/proxy/answerbody.go
@@ -11,47 +11,48 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// fill takes the first piece of the answer, or reports the attempt as broken.
-func (a *answer) fill(err error) bool {
+// fill completes the first read of the response body: it records the time to first
+// byte, or reports the attempt as broken if err is set.
+func (r *answer) fill(err error) bool {
 	if err != nil {
-		a.lost(retry.Broken, a.resumePoint(), err)
+		r.lost(retry.Broken, r.resumePoint(), err)
 		return false
 	}
-	a.first = time.Since(a.exchange.begun)
+	r.first = time.Since(r.exchange.begun)
 	return true
 }
 
-// firstEvent waits for the first event with data. Comments before it are dropped:
-// nothing goes to the caller while another attempt is still possible.
-func (a *answer) firstEvent() error {
+// firstEvent waits for the first event with data. It drops comments before that
+// event: nothing is sent to the caller while another attempt is still possible.
+func (r *answer) firstEvent() error {
 	for {
-		e, err := a.nextEvent()
+		e, err := r.nextEvent()
 		if errors.Is(err, io.EOF) {
-			a.wholeNow()
+			r.wholeNow()
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		if e.data {
-			a.take(e)
+			r.take(e)
 			return nil
 		}
 	}
 }
 
-// nextEvent reads the next event that is new. Where the framing marks the end, it
-// returns io.EOF there.
-func (a *answer) nextEvent() (streamEvent, error) {
+// nextEvent reads the next event that has not been received before. If the HTTP
+// framing marks the end of the stream, it returns io.EOF there.
+func (r *answer) nextEvent() (streamEvent, error) {
 	for {
-		e, err := a.events.next()
-		if errors.Is(err, io.EOF) && (a.head.Marked || a.events.partial()) {
+		e, err := r.events.next()
+		if errors.Is(err, io.EOF) && (r.head.Marked || r.events.partial()) {
 			return e, errNoEndMark
 		}
 		if err != nil {
 			return e, err
 		}
-		fresh, err := a.sequence.check(e, a.head.Marked)
+		fresh, err := r.sequence.check(e, r.head.Marked)
 		if err != nil {
 			return e, err
 		}
@@ -61,136 +62,141 @@
 	}
 }
 
-func (a *answer) take(e streamEvent) {
-	a.pending = e.text
-	if e.end && a.head.Marked {
-		a.wholeNow()
+// take makes the event's text pending and checks for the end mark.
+func (r *answer) take(e streamEvent) {
+	r.pending = e.text
+	if e.end && r.head.Marked {
+		r.wholeNow()
 	}
 }
 
-// firstBytes reads a small answer whole, and of a large one the first bytes.
-func (a *answer) firstBytes() error {
-	length := a.resp.Header.ContentLength()
-	if length >= 0 && length <= wholeBody && a.resp.BodyStream() != nil {
+// firstBytes reads a small response whole, or the first bytes of a large one.
+func (r *answer) firstBytes() error {
+	length := r.resp.Header.ContentLength()
+	if length >= 0 && length <= wholeBody && r.resp.BodyStream() != nil {
 		body := make([]byte, length)
-		if _, err := io.ReadFull(a.call, body); err != nil {
-			return fmt.Errorf("proxy: short answer: %w", err)
+		if _, err := io.ReadFull(r.call, body); err != nil {
+			return fmt.Errorf("proxy: truncated response: %w", err)
 		}
-		a.pending = body
-		a.wholeNow()
+		r.pending = body
+		r.wholeNow()
 		return nil
 	}
-	if a.head.Whole && length < 0 {
-		return a.wholeBody()
+	if r.head.Whole && length < 0 {
+		return r.wholeBody()
 	}
-	a.buffer = make([]byte, copyBuffer)
-	return a.copyBytes()
+	r.buffer = make([]byte, copyBuffer)
+	return r.copyBytes()
 }
 
-// wholeBody reads a body of unknown length up to its end, or up to the size from
-// which on it is passed on as it comes.
-func (a *answer) wholeBody() error {
-	body, err := io.ReadAll(io.LimitReader(a.call, wholeBody))
+// wholeBody reads a body of unknown length to its end, or up to the size limit. A
+// larger body is forwarded as it arrives.
+func (r *answer) wholeBody() error {
+	body, err := io.ReadAll(io.LimitReader(r.call, wholeBody))
 	if err != nil {
-		return fmt.Errorf("proxy: short answer: %w", err)
+		return fmt.Errorf("proxy: truncated response: %w", err)
 	}
-	a.pending = body
+	r.pending = body
 	if len(body) < wholeBody {
-		a.wholeNow()
+		r.wholeNow()
 	}
-	a.buffer = make([]byte, copyBuffer)
+	r.buffer = make([]byte, copyBuffer)
 	return nil
 }
 
-func (a *answer) copyBytes() error {
-	n, err := a.call.Read(a.buffer)
-	a.pending = a.buffer[:n]
+func (r *answer) copyBytes() error {
+	n, err := r.call.Read(r.buffer)
+	r.pending = r.buffer[:n]
 	if errors.Is(err, io.EOF) {
-		a.wholeNow()
+		r.wholeNow()
 		return nil
 	}
 	return err
 }
 
-// wholeNow reports that the answer arrived to its own end.
-func (a *answer) wholeNow() {
-	a.whole = true
-	a.end(core.AttemptEnded{Outcome: retry.Answered}, nil)
+// wholeNow marks the response as complete and reports it.
+func (r *answer) wholeNow() {
+	r.whole = true
+	r.end(core.AttemptEnded{Outcome: retry.Answered}, nil)
 }
 
-// Read gives the HTTP library the next bytes for the caller. An error leaves the
-// final chunk out, so that no caller can take a broken answer for a whole one.
-func (a *answer) Read(p []byte) (int, error) {
-	for len(a.pending) == 0 {
+// Read returns the next bytes for the caller to the HTTP library. After an error the
+// library omits the final chunk, so that a caller can tell a broken response from a
+// whole one.
+func (r *answer) Read(p []byte) (int, error) {
+	for len(r.pending) == 0 {
 		switch {
-		case a.failed != nil:
-			return 0, a.failed
-		case a.whole:
+		case r.failed != nil:
+			return 0, r.failed
+		case r.whole:
 			return 0, io.EOF
 		}
-		if err := a.advance(); err != nil {
-			a.broken(err)
+		if err := r.advance(); err != nil {
+			r.broken(err)
 		}
 	}
-	n := copy(p, a.pending)
-	a.pending = a.pending[n:]
-	a.exchange.server.options.Metrics.CallerBytes(n)
+	n := copy(p, r.pending)
+	r.pending = r.pending[n:]
+	r.exchange.server.options.Metrics.CallerBytes(n)
 	return n, nil
 }
 
-func (a *answer) advance() error {
-	if a.events == nil {
-		return a.copyBytes()
+// advance reads the next event or the next bytes into pending.
+func (r *answer) advance() error {
+	if r.events == nil {
+		return r.copyBytes()
 	}
-	e, err := a.nextEvent()
+	e, err := r.nextEvent()
 	if errors.Is(err, io.EOF) {
-		a.wholeNow()
+		r.wholeNow()
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	a.take(e)
+	r.take(e)
 	return nil
 }
 
-// broken reports that the answer was cut after it had begun, and carries out what
-// the core makes of it: the same stream is resumed, or the answer ends in an error.
-func (a *answer) broken(err error) {
-	a.lost(retry.Broken, a.resumePoint(), err)
-	for effect := range a.exchange.effects {
+// broken reports that the response was cut after it had started, and executes the
+// effects that the core returns: either the same stream is resumed, or the response
+// ends with an error.
+func (r *answer) broken(err error) {
+	r.lost(retry.Broken, r.resumePoint(), err)
+	for effect := range r.exchange.effects {
 		switch e := effect.(type) {
 		case core.SendAttempt:
-			if a.open(e) {
+			if r.open(e) {
 				return
 			}
 		case core.Finish:
-			a.fail(e)
+			r.fail(e)
 			return
 		}
 	}
 }
 
-// resumePoint is the number after which the stream can go on, or nothing. A stream
-// of an engine that gives it no name can go on by its events' numbers.
-func (a *answer) resumePoint() string {
-	if a.events == nil {
+// resumePoint returns the event number after which the stream can be resumed, or ""
+// if it cannot. A stream with an end mark needs a stream ID; a stream without one can
+// be resumed if its events are numbered.
+func (r *answer) resumePoint() string {
+	if r.events == nil {
 		return ""
 	}
-	if a.head.Marked && a.stream.id == "" || !a.head.Marked && a.sequence.last == 0 {
+	if r.head.Marked && r.stream.id == "" || !r.head.Marked && r.sequence.last == 0 {
 		return ""
 	}
-	return strconv.FormatUint(a.sequence.last, 10)
+	return strconv.FormatUint(r.sequence.last, 10)
 }
 
-// readEnd reads the framing's end behind the answer's, so that the connection
-// can carry another request.
-func (a *answer) readEnd() bool {
-	if a.events == nil {
+// readEnd reads the end of the HTTP framing after the end of the response, so that
+// the connection can be reused. It reports whether the framing ended there.
+func (r *answer) readEnd() bool {
+	if r.events == nil {
 		return true
 	}
-	a.call.deadline = time.Now().Add(endWait)
+	r.call.deadline = time.Now().Add(endWait)
 	var b [1]byte
-	n, err := a.events.in.Read(b[:])
+	n, err := r.events.in.Read(b[:])
 	return n == 0 && errors.Is(err, io.EOF)
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -33,16 +33,19 @@
 	require.NoError(t, err)
 }
 
-// rawBackend is a backend server that counts the requests it read and hands each
-// connection's requests to serve. It closes the connection when serve says so.
+// rawBackend is a backend server that counts the requests it has read and passes each
+// to a rawServe function. It closes the connection if the function returns false.
 type rawBackend struct {
 	listener net.Listener
 	address  string
-	seen     atomic.Int64
+	// seen counts the requests that it read.
+	seen atomic.Int64
 	// closed counts the connections that it closed.
 	closed atomic.Int64
 }
 
+// rawServe writes the response to the nth request and reports whether to keep the
+// connection open.
 type rawServe func(nth int, r *http.Request, conn net.Conn) (keep bool)
 
 func startRaw(t testing.TB, serve rawServe) *rawBackend {
@@ -85,10 +88,9 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A cancellation notice goes out twice although nobody asked twice. The server
-// read the request and closed without an answer, and the HTTP library sent it
-// again by itself. Every method, on a new connection and on a kept one, must
-// reach the server once.
+// Guards against a request that runs twice because the HTTP library resends it after
+// the server has read it and closed the connection without a response. A request of any
+// method, on a new or a reused connection, must reach the server exactly once.
 func TestNothingIsSentTwice(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE", "OPTIONS"} {
 		for _, kept := range []bool{false, true} {
@@ -100,9 +102,9 @@
 					}
 					return false
 				})
-				text := fleetText(nil, []string{b.address})
-				text.Services[0].MaxAttempts = 1
-				i := startInstance(t, text, proxy.Options{})
+				cfg := fleetText(nil, []string{b.address})
+				cfg.Services[0].MaxAttempts = 1
+				i := startInstance(t, cfg, proxy.Options{})
 				want := 1
 				if kept {
 					require.Equal(t, "first", send(t, newCall(t, "GET", i.url+"/services/portal/x", "", nil)).body)
@@ -117,17 +119,17 @@
 	}
 }
 
-// A request fails, or is called possibly run, only because the server closed a
-// kept connection some time before. The connection is seen to be closed before it
-// is used, so a single attempt suffices.
+// Guards against a request that fails or gets an unknown outcome because the server had
+// already closed a pooled connection. The close must be detected before reuse, so that
+// one attempt suffices.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		answerOK(conn, "answer")
 		return false
 	})
-	text := fleetText(nil, []string{b.address})
-	text.Services[0].MaxAttempts = 1
-	i := startInstance(t, text, proxy.Options{})
+	cfg := fleetText(nil, []string{b.address})
+	cfg.Services[0].MaxAttempts = 1
+	i := startInstance(t, cfg, proxy.Options{})
 	for n := range 20 {
 		got := send(t, newCall(t, "GET", i.url+"/services/portal/x", "", nil))
 		require.Equal(t, "answer", got.body)
@@ -135,9 +137,9 @@
 	}
 }
 
-// An analyst reads another customer's dossier. The server answered the first
-// request only after its deadline, on a connection that was kept, and the late
-// answer was taken for the next request's. A given-up connection is closed.
+// Guards against a late response that is taken for the response to the next request on
+// the same connection, which would show a caller another customer's data. After a
+// request's deadline has passed, its connection must be closed and not reused.
 func TestLateAnswerReachesNobodyElse(t *testing.T) {
 	b := startRaw(t, func(nth int, r *http.Request, conn net.Conn) bool {
 		if nth%2 == 1 {
@@ -157,9 +159,9 @@
 	}
 }
 
-// What a caller is told when the attempt fails before any byte of an answer:
-// whether it may have run decides between another attempt, "not-run" and
-// "unknown".
+// Checks the outcome that a caller receives if an attempt fails before any byte of the
+// response is sent to it. Whether the request may have run decides between another
+// attempt, "not-run" and "unknown".
 func TestOutcomes(t *testing.T) {
 	const yes, no = "", "false"
 	tests := []struct {
@@ -199,15 +201,16 @@
 	}
 }
 
-// A dial that is refused sent nothing, whatever the request is.
+// A refused dial has sent nothing, so even a request that is not idempotent is reported
+// as not run.
 func TestUnreachableIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
 	require.NoError(t, l.Close())
-	text := fleetText([]string{address}, nil)
-	text.Services[0].MaxAttempts = 1
-	i := startInstance(t, text, proxy.Options{})
+	cfg := fleetText([]string{address}, nil)
+	cfg.Services[0].MaxAttempts = 1
+	i := startInstance(t, cfg, proxy.Options{})
 	got := send(t, newChat(t, i.url, true, headers{proxy.HeaderIdempotent: "false"}))
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, string(reason.NotRun), got.header.Get(proxy.HeaderOutcome))
@@ -215,8 +218,8 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 }
 
-// An answer that ends only by its connection's end may be cut without a trace, so
-// it is never passed on as whole.
+// A response that ends when its connection closes could be truncated unnoticed, so it
+// must not be passed to the caller as a whole response.
 func TestAnswerFramedByCloseIsBroken(t *testing.T) {
 	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
@@ -227,9 +230,10 @@
 	require.ErrorContains(t, got.err, "unexpected EOF")
 }
 
-// Two hundred analysts ask at once while answers come late, out of order, cut and
-// after their deadlines, over connections that are given up and used again. Each
-// whole answer must be the one to its own request.
+// Guards against responses that reach the wrong caller. 200 concurrent callers send
+// requests whose responses are late, out of order, truncated or past their deadlines,
+// over connections that are closed and reused. Each whole response must belong to its
+// own request.
 func TestEveryCallerGetsItsOwnAnswer(t *testing.T) {
 	b := startRaw(t, func(nth int, r *http.Request, conn net.Conn) bool {
 		time.Sleep(time.Duration(nth*7%13) * 4 * time.Millisecond)
--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// backendConn is a connection to a backend server that counts what left through it.
+// backendConn is a connection to a backend server that counts the bytes sent on it.
 //
-// Whether a failed request may have run depends on whether any byte of it left,
-// and the client library does not tell: it reports a refused dial, a write to a
-// closed connection and a lost answer alike.
+// Whether a failed request may have run depends on whether any byte of it was sent,
+// and the client library does not expose this: it reports a refused dial, a write to
+// a closed connection and a lost response in the same way.
 type backendConn struct {
 	net.Conn
 	written atomic.Int64
 	now     func() time.Time
-	// zone is told of each byte that comes.
+	// zone records when bytes arrive from the server's zone.
 	zone *zoneContact
-	// idleSince is when the connection was last given back.
+	// idleSince is the time at which the connection was last returned to the pool.
 	idleSince time.Time
-	// keep is how long its server said that it keeps the connection unused, or 0, and
-	// unstatedKeep what holds where it says nothing.
+	// keep is the idle timeout that the server announced, or 0 if it announced none;
+	// unstatedKeep applies in that case.
 	keep, unstatedKeep time.Duration
 }
 
-// Read reads what the backend server sent and notes that its zone can be heard.
+// Read reads from the backend server and records that its zone is reachable.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && c.zone != nil {
@@ -33,21 +33,22 @@
 	return n, err
 }
 
-// kept tells whether the connection has carried a request before.
+// kept reports whether the connection has carried a request before.
 func (c *backendConn) kept() bool { return c.written.Load() > 0 }
 
-// Write sends p and counts what the kernel took of it.
+// Write sends p and counts the bytes that the kernel accepted.
 func (c *backendConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// reset closes the connection and drops what the other side has not received.
+// reset closes the connection and discards the bytes that the peer has not received.
 //
-// An orderly close leaves the bytes of an abandoned request with the kernel, which
-// delivers them once a cut on the way heals: the backend server then begins to work
-// for a caller who left long ago, or runs what was refused. A reset takes them back.
+// After an orderly close the kernel still holds the bytes of an abandoned request and
+// delivers them once a network partition heals. The backend server then works for a
+// caller that disconnected long ago, or runs a request that was reported as refused.
+// A reset discards these bytes.
 func (c *backendConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -16,10 +16,11 @@
 var past = time.Unix(1, 0)
 
 const (
-	// lingerTime is how long a retired connection waits for the caller's end of
-	// it, so that the notice is not destroyed by a reset.
+	// lingerTime is how long a connection waits for the caller to close its end, so
+	// that a reset does not discard the notice or response.
 	lingerTime = 2 * time.Second
-	// readAhead is what may be read of a next request while one is worked on.
+	// readAhead is the number of bytes of the next request that may be read while the
+	// current request is processed.
 	readAhead = 4096
 )
 
@@ -27,27 +28,31 @@
 	"Connection: close\r\nContent-Length: 0\r\n" +
 	HeaderOutcome + ": not-run\r\n" + HeaderReason + ": overloaded\r\nRetry-After: 1\r\n\r\n"
 
-// callerConn is a caller's connection.
+// callerConn is a connection from a caller.
 //
-// The HTTP library does not read a connection while it works on a request, so it
-// notices a caller's leaving only when it next writes. watch reads in its place,
-// and hands what it read to the library's next read.
+// The HTTP library does not read from a connection while it processes a request, so
+// it detects that the caller disconnected only at its next write. watch reads from
+// the connection meanwhile; Read then returns these bytes to the library.
 type callerConn struct {
 	net.Conn
 	server *Server
-	ahead  []byte
+	// ahead holds bytes that watch has read.
+	ahead []byte
 
 	mu sync.Mutex
-	// idleSince is zero while a request is read or worked on.
+	// idleSince is zero while a request is read or processed.
 	idleSince time.Time
-	deadline  time.Time
-	retired   bool
-	closed    bool
-	// unread is set when the caller was refused before it had sent everything.
+	// deadline is the read deadline that the HTTP library set.
+	deadline time.Time
+	// retired is set while the connection is being closed for being idle.
+	retired bool
+	closed  bool
+	// unread is set if a request was rejected before all of it was read.
 	unread bool
 }
 
-// Read reads for the HTTP library.
+// Read returns bytes that watch has read, or reads from the connection. If the
+// connection is retired and no request has arrived, it ends the connection.
 func (c *callerConn) Read(p []byte) (int, error) {
 	if len(c.ahead) > 0 {
 		n := copy(p, c.ahead)
@@ -71,9 +76,9 @@
 	return n, err
 }
 
-// lastRead reads what has arrived on a connection that is given up, and does not wait. A
-// deadline that has passed hides it: on a busy machine a request lies there unread, and
-// the connection seems to have been silent.
+// lastRead reads the bytes that have arrived on a retired connection, without blocking.
+// After the read deadline has passed, an ordinary read returns no data: on a busy
+// machine a request may have arrived unread while the connection seems idle.
 func (c *callerConn) lastRead(p []byte) int {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -81,12 +86,12 @@
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return 0 // It is closed.
+		return 0 // The connection is closed.
 	}
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	n := 0
 	err = raw.Read(func(fd uintptr) (done bool) {
-		n, _ = syscall.Read(int(fd), p) // Nothing there is an error too.
+		n, _ = syscall.Read(int(fd), p) // If no data has arrived, n is -1.
 		return true
 	})
 	if err != nil {
@@ -95,8 +100,8 @@
 	return max(0, n)
 }
 
-// SetReadDeadline sets the library's deadline, unless the connection is being
-// retired: then the blocked read must return at once.
+// SetReadDeadline stores the deadline of the HTTP library. It applies the deadline
+// unless the connection is retired, because the blocked read must then return at once.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,19 +112,19 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Write writes p unless the caller takes no byte for the length of a write
-// stall. A caller that reads slowly is let: the engine then waits for it, and
-// what this instance holds for it stays one event and the kernel's buffers.
+// Write writes p unless the caller accepts no byte for WriteStall. A caller that reads
+// slowly is not cut: the engine then waits for it, and this instance buffers no more
+// than one event and the kernel's buffers for it.
 func (c *callerConn) Write(p []byte) (int, error) {
-	done := 0
+	written := 0
 	for {
 		if err := c.SetWriteDeadline(time.Now().Add(c.server.options.WriteStall)); err != nil {
-			return done, err
+			return written, err
 		}
-		n, err := c.Conn.Write(p[done:])
-		done += n
+		n, err := c.Conn.Write(p[written:])
+		written += n
 		if err == nil || n == 0 || !isTimeout(err) {
-			return done, err
+			return written, err
 		}
 	}
 }
@@ -140,15 +145,15 @@
 	return c.Conn.Close()
 }
 
-// leaveUnread notes that the caller still sends what nobody will read.
+// leaveUnread records that the rest of the caller's request will not be read.
 func (c *callerConn) leaveUnread() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unread = true
 }
 
-// busy notes that a request arrives, and takes a retirement back: a request that
-// began to arrive before the connection was given up is served.
+// busy records that a request is arriving, and revokes a retirement: a request that
+// began to arrive before the connection was closed is served.
 func (c *callerConn) busy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,15 +164,15 @@
 	}
 }
 
-// rest notes that the connection waits for a request.
+// rest records that the connection is idle.
 func (c *callerConn) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleSince = time.Now()
 }
 
-// retire makes a connection that was idle since before t close itself. Its own
-// reader decides: whatever has arrived by then is served.
+// retire makes the connection close itself if it has been idle since t or earlier.
+// Its reader decides: a request that has arrived by then is still served.
 func (c *callerConn) retire(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,8 +189,9 @@
 	return c.retired
 }
 
-// leave ends an idle connection. A request may be on its way at this moment: where
-// the dialect has a notice, it says truthfully that the request did not run.
+// leave sends the dialect's notice, if there is one, before an idle connection is
+// closed. A request may be in flight at this moment; the notice states correctly that
+// it did not run.
 func (c *callerConn) leave() {
 	notice := c.server.options.Dialect.RetireNotice()
 	if len(notice) == 0 {
@@ -197,9 +203,9 @@
 	}
 }
 
-// linger says that nothing more comes and reads on until the caller closes. To
-// close with bytes unread resets the connection, and the reset destroys what the
-// caller has not read yet: the answer.
+// linger closes the write side and discards input until the caller closes. Closing
+// with unread bytes would reset the connection, and the reset would discard the part
+// of the response that the caller has not read.
 func (c *callerConn) linger() {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -211,7 +217,7 @@
 	}
 }
 
-// watch calls gone if the caller closes its connection before stop is called.
+// watch calls gone if the caller closes the connection before stop is called.
 func (c *callerConn) watch(gone func()) (stop func()) {
 	done := make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
@@ -236,14 +242,15 @@
 	}
 }
 
-// callerListener wraps each accepted connection.
+// callerListener wraps each accepted connection in a callerConn.
 type callerListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept waits for a caller. One beyond the limit is told so and closed: each
-// connection holds buffers, and memory that runs out would cut all others.
+// Accept waits for a connection. A connection over the limit receives an overload
+// response and is closed: each connection holds buffers, and running out of memory
+// would break all others.
 func (l callerListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -260,7 +267,7 @@
 	}
 }
 
-// turnAway ends a connection that has no place.
+// turnAway sends the overload response and closes the connection.
 func (c *callerConn) turnAway() {
 	_ = c.SetWriteDeadline(time.Now().Add(lingerTime))
 	if _, err := c.Conn.Write([]byte(overloadNotice)); err == nil {
--- a/internal/proxy/caller_test.go
+++ b/internal/proxy/caller_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connPair is a caller's end of a connection and the instance's.
+// connPair returns the caller's end and the instance's end of a TCP connection.
 func connPair(t *testing.T) (caller, instance net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,8 +25,8 @@
 	return caller, instance
 }
 
-// A stopping instance on a busy machine refuses a request that has arrived and that it has
-// not got round to reading, because the connection seems to have been silent for long.
+// Guards against a stopping instance that refuses a request which has already arrived: on
+// a busy machine the request is not read yet, and the connection seems to be idle.
 func TestARequestThatHasArrivedIsReadBeforeItsConnectionRetires(t *testing.T) {
 	const request = "POST /v1/chat/completions HTTP/1.1\r\n"
 	caller, instance := connPair(t)
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -10,45 +10,48 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// Dialect is how the callers and backend servers of a deployment speak: which
-// headers say what, and which status a refusal has. It translates and decides
-// nothing. Its methods are called from many goroutines.
+// Dialect translates between the core and the HTTP conventions of a deployment's
+// callers and backend servers, such as header names and the status codes of refusals.
+// It makes no decisions. Its methods must be safe for concurrent use.
 type Dialect interface {
-	// ReadRequest reads a caller's request. The id names it in the logs.
+	// ReadRequest parses a caller's request. The id identifies it in the logs.
 	ReadRequest(ctx *fasthttp.RequestCtx, id core.RequestID, now time.Time) (*Request, *Rejection)
-	// WriteAttempt makes the head of a request to a backend server, whose caller's
-	// time is over after left. Target and body are set already.
-	WriteAttempt(to, from *fasthttp.Request, e *core.SendAttempt, left time.Duration)
-	// ReadHead reads the head of a backend server's answer.
+	// WriteAttempt writes the headers of a request to a backend server. The caller's
+	// deadline expires after remaining. The proxy sets the target and the body.
+	WriteAttempt(to, from *fasthttp.Request, e *core.SendAttempt, remaining time.Duration)
+	// ReadHead interprets the header of a backend server's response.
 	ReadHead(h *fasthttp.ResponseHeader, r *Request, e *core.SendAttempt, now time.Time) Head
-	// WriteHead passes the head of a backend server's answer on to the caller.
+	// WriteHead writes the response header for the caller from that of a backend server.
 	WriteHead(to, from *fasthttp.ResponseHeader, r *Request, e *core.SendAttempt)
-	// WriteFinal makes the fleet's own final answer.
+	// WriteFinal writes a final response that the fleet itself generates.
 	WriteFinal(out *fasthttp.Response, r *Request, e *core.Finish)
-	// WriteRejection answers a request that cannot be taken.
+	// WriteRejection writes the response to a request that the dialect or the HTTP
+	// server rejected before it reached the core.
 	WriteRejection(out *fasthttp.Response, id core.RequestID, rejected *Rejection)
-	// BrokenEvent is what follows the last event of a stream that ends early, if
-	// anything does.
+	// BrokenEvent returns the event that ends a stream which broke off early, or nil if
+	// the dialect has no such event.
 	BrokenEvent(r *Request, e *core.Finish) []byte
-	// RetireNotice is what a caller finds that sends a request on an idle connection
-	// while this end closes it, if anything.
+	// RetireNotice returns the bytes that the proxy writes on an idle connection before
+	// it closes the connection, or nil for none. A caller whose request crosses the close
+	// receives them as the response.
 	RetireNotice() []byte
 }
 
-// Request is a caller's request as a dialect understands it.
+// Request is a caller's request as parsed by a dialect.
 type Request struct {
 	Arrived core.RequestArrived
-	// CallerID is the caller's own name for the request, if it gives one.
+	// CallerID is the request ID that the caller assigned, if any.
 	CallerID string
-	// Target is the path at the backend server with its query, as the caller wrote it.
+	// Target is the path and query for the backend server, as the caller sent them.
 	Target string
-	// Since is the last event that the caller has of an earlier answer that broke.
+	// Since is the number of the last event that the caller received of an earlier,
+	// broken response.
 	Since uint64
-	// stream is set on a chat that asks for server-sent events.
+	// stream is set if a chat requests server-sent events.
 	stream bool
 }
 
-// target names what the request asks for, in metrics.
+// target returns the service or model name that metrics use for the request.
 func (r *Request) target() string {
 	if r.Arrived.Service != "" {
 		return r.Arrived.Service
@@ -56,46 +59,47 @@
 	return r.Arrived.Model
 }
 
-// Rejection is a request that cannot be taken, and what to tell its caller.
+// Rejection describes why a request was rejected and how to respond to its caller.
 type Rejection struct {
 	Status int
 	Why    reason.Reason
 	Text   string
 }
 
-// Verdict is what the head of an answer means for the attempt.
+// Verdict classifies the response of a backend server by its header.
 type Verdict int
 
 // The verdicts.
 const (
-	// Accepted answers are the backend server's own and go to the caller.
+	// Accepted responses come from the backend server and are passed to the caller.
 	Accepted Verdict = iota
-	// NotStarted is the backend server's word that it did not start the request.
+	// NotStarted responses state that the backend server did not start the request.
 	NotStarted
-	// Failure is the backend server's own answer, which says that it failed.
+	// Failure responses come from the backend server and report that it failed.
 	Failure
-	// Foreign is no answer of the backend server's to this request.
+	// Foreign responses are not the backend server's response to this request.
 	Foreign
 )
 
-// Head is what the head of an answer says.
+// Head is the header of a backend server's response as interpreted by a dialect.
 type Head struct {
 	Verdict Verdict
-	// Load is nil if the answer says nothing of it.
+	// Load is nil if the response does not report the load.
 	Load *membership.Report
-	// RetryAfter is when a server that did not start the request may be asked again.
+	// RetryAfter is the delay after which a server that did not start the request may
+	// be tried again.
 	RetryAfter time.Duration
-	// Events says that the body is a stream of events.
+	// Events is set if the body is a stream of server-sent events.
 	Events bool
-	// Marked says that the stream's end is marked by an event of its own; else the
-	// framing marks it.
+	// Marked is set if an event marks the end of the stream; otherwise the HTTP framing
+	// marks it.
 	Marked bool
-	// StreamID and Incarnation name a stream that can be resumed where it runs.
+	// StreamID and Incarnation identify a stream that can be resumed at its engine.
 	StreamID, Incarnation string
-	// Whole says that nothing of a body of moderate size goes to the caller before its
-	// end has come, so that a cut answer can still be asked for again.
+	// Whole is set if a body of moderate size is buffered to its end before any of it is
+	// sent to the caller, so that a truncated response can still be retried.
 	Whole bool
-	// Unframed says that a body without a length ends where the connection is closed
-	// in order; else such a body is taken for a cut one.
+	// Unframed is set if an orderly close of the connection ends a body without a
+	// length; otherwise such a body is treated as truncated.
 	Unframed bool
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -18,7 +18,7 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/balancer"
 )
 
-// runLoad runs workers of every kind and returns what ends them.
+// runLoad starts width workers of each kind and returns a function that stops them.
 func runLoad(t *testing.T, b *balancer.Balancer, width int) (stop func()) {
 	done := make(chan struct{})
 	var workers sync.WaitGroup
@@ -38,8 +38,8 @@
 	}
 }
 
-// requireNoLoss reports the counts, and the first losses. A request may be refused whose
-// caller paused for longer than a stopping instance waits for the next one.
+// requireNoLoss logs the counts and the first losses, and requires that no request was
+// lost. A request may be refused only if its caller paused for longer than drainIdle.
 func requireNoLoss(t *testing.T, b *balancer.Balancer) {
 	t.Helper()
 	silences := b.Silences()
@@ -54,16 +54,16 @@
 }
 
 const (
-	// drainIdle is how long a stopping instance waits for the next request on a
-	// connection.
+	// drainIdle is the time for which a stopping instance waits for the next request on
+	// an idle connection.
 	drainIdle = 100 * time.Millisecond
-	// balancerLag is how late the balancer hears of readiness; it is longer than
-	// the accept delay of the instances.
+	// balancerLag is the delay after which the balancer receives a readiness change; it
+	// is longer than the accept delay of the instances.
 	balancerLag = 250 * time.Millisecond
 	fleetSize   = 8
 )
 
-// rollingFleet is a fleet of instances behind a balancer, the oldest first.
+// rollingFleet is a fleet of instances behind a balancer. The oldest instance is first.
 type rollingFleet struct {
 	t         *testing.T
 	balancer  *balancer.Balancer
@@ -81,7 +81,7 @@
 	f.balancer.Add(i.address)
 }
 
-// replace starts n instances and stops the n oldest at once.
+// replace starts n instances and stops the n oldest instances concurrently.
 func (f *rollingFleet) replace(n int) {
 	old := f.instances[:n]
 	f.instances = f.instances[n:]
@@ -100,11 +100,11 @@
 	}
 }
 
-// At every release some riders see a blank screen: a request was on a connection
-// that the stopping instance closed, in the accept queue of its listener, or its
-// stream was cut. All eight instances are replaced under load on new and kept
-// connections, one after another and two at once, while the balancer goes on
-// sending to a stopping one for longer than its accept delay. Nothing may be lost.
+// Guards against requests lost in a rolling replacement: a request is on a connection
+// that the stopping instance closes, or in the accept queue of its listener, or its
+// stream is cut. All eight instances are replaced under load on new and kept
+// connections, one at a time and two at a time, while the balancer sends requests to a
+// stopping instance for longer than its accept delay.
 func TestRollingReplacementLosesNothing(t *testing.T) {
 	_, engines := startEngines(t, 2, 2*time.Millisecond)
 	f := &rollingFleet{t: t, balancer: &balancer.Balancer{}, engines: engines}
@@ -119,9 +119,8 @@
 	requireNoLoss(t, f.balancer)
 }
 
-// A stream of a dossier review runs when its instance is told to stop, and a
-// request arrives on an open connection after the listener is closed. Both get
-// their whole answers; only then does the instance stop.
+// A stopping instance must first complete a running stream and a request that arrives on
+// an open connection after the listener is closed.
 func TestStopWaitsForStreams(t *testing.T) {
 	engines, addresses := startEngines(t, 1, 50*time.Millisecond)
 	engines[0].Tokens = 20
@@ -142,7 +141,7 @@
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
 	again, err = b.Send(kept, newChat(t, i.url, false, nil))
 	require.NoError(t, err)
-	require.False(t, again, "an answer of a stopping instance asks to close the connection")
+	require.False(t, again, "a response of a stopping instance asks the caller to close the connection")
 	resp, err := http.ReadResponse(bufio.NewReader(long), nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -153,9 +152,9 @@
 	<-i.stopped
 }
 
-// A stopping instance closes an idle connection at the moment at which the
-// balancer sends a request on it. The request can't be served any more, but it is
-// told so: not run, because of the stop, and when to come back.
+// A stopping instance closes an idle connection at the moment at which the balancer sends
+// a request on it. The request cannot be served, but must receive a response with the
+// outcome "not-run", the reason "stopping" and a Retry-After.
 func TestRequestThatCrossesTheCloseIsTold(t *testing.T) {
 	_, addresses := startEngines(t, 1, time.Millisecond)
 	i := startInstance(t, fleetText(addresses, nil), proxy.Options{
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// cancelQueue bounds the streams that wait for their cancellation. One that
-	// finds no place is left: the engine ends it by itself in the end.
+	// cancelQueue bounds the streams that wait for cancellation. If the queue is full,
+	// a cancellation is dropped and the engine eventually ends the stream itself.
 	cancelQueue = 256
 	cancelers   = 4
 	callTimeout = 2 * time.Second
 	maxReport   = 64 << 10
 )
 
-// engineClient gives engines the orders that belong to no request's own call.
+// engineClient sends engines the requests that are not part of a caller's request:
+// stream cancellations and load queries.
 type engineClient struct {
 	http  *fasthttp.Client
 	log   *logQueue
@@ -43,12 +44,12 @@
 	return c
 }
 
-// cancel asks the engine to end a stream, without waiting.
+// cancel queues the cancellation of a stream. It never blocks.
 func (c *engineClient) cancel(s stream) {
 	select {
 	case c.queue <- s:
 	default:
-		c.log.put("cancellation dropped", "address", s.address, "stream", s.id)
+		c.log.put("stream cancellation dropped: queue is full", "address", s.address, "stream", s.id)
 	}
 }
 
@@ -58,21 +59,21 @@
 		req.Header.SetMethod(fasthttp.MethodDelete)
 		req.SetRequestURI(streamURL(s))
 		if err := c.http.DoTimeout(req, resp, callTimeout); err != nil {
-			c.log.put("stream not cancelled", "address", s.address, "stream", s.id, "error", err)
+			c.log.put("stream cancellation failed", "address", s.address, "stream", s.id, "error", err)
 		}
 		fasthttp.ReleaseRequest(req)
 		fasthttp.ReleaseResponse(resp)
 	}
 }
 
-// loadReport is the JSON of an engine's load report.
+// loadReport is the JSON form of an engine's load report.
 type loadReport struct {
 	Incarnation uint64           `json:"incarnation"`
 	State       membership.State `json:"state"`
 	InFlight    int              `json:"in_flight"`
 }
 
-// Report asks a backend server for its load.
+// Report fetches the load report of a backend server.
 func (s *Server) Report(backend, address string) (membership.Report, error) {
 	report := membership.Report{Backend: backend, At: s.options.Now()}
 	status, body, err := s.engine.http.GetTimeout(nil, "http://"+address+"/load", callTimeout)
@@ -87,7 +88,7 @@
 		return report, fmt.Errorf("proxy: load report of %s: %w", backend, err)
 	}
 	if l.InFlight < 0 || (l.State != membership.Live && l.State != membership.Leaving) {
-		return report, fmt.Errorf("proxy: load report of %s: cannot be so", backend)
+		return report, fmt.Errorf("proxy: load report of %s: invalid load or state", backend)
 	}
 	report.Incarnation, report.State, report.InFlight = l.Incarnation, l.State, l.InFlight
 	return report, nil
--- a/internal/proxy/engine_test.go
+++ b/internal/proxy/engine_test.go
@@ -14,8 +14,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/proxy"
 )
 
-// What an engine says of itself reaches the core: by a poll, and on each answer.
-// One that leaves refuses in its own word, and the request runs elsewhere.
+// The core receives an engine's load by polls and from the headers of each response. A
+// leaving engine refuses requests explicitly, and they run on another engine.
 func TestEngineAdapter(t *testing.T) {
 	engines, addresses := startEngines(t, 2, time.Millisecond)
 	i := startInstance(t, fleetText(addresses, nil), proxy.Options{})
@@ -28,7 +28,7 @@
 		stats = engines[1].Stats()
 	}
 	require.Equal(t, 1, stats.Misses, "the first turn of a chat")
-	require.Equal(t, 2, stats.Hits, "later turns meet the engine that holds the prefix")
+	require.Equal(t, 2, stats.Hits, "later turns use the engine that caches the prefix")
 	require.Equal(t, "7", stats.LastPriority)
 
 	report, err := i.server.Report("engine-1", addresses[0])
@@ -48,7 +48,7 @@
 	require.Equal(t, "engine-2", got.header.Get(proxy.HeaderBackend))
 }
 
-// A report that cannot be so is an error and not a load.
+// An invalid load report must yield an error, not a load.
 func TestReportThatCannotBe(t *testing.T) {
 	for _, body := range []string{"", "{", `{"in_flight":-1,"state":"live"}`, `{"in_flight":1,"state":"well"}`, `[]`} {
 		b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
@@ -61,8 +61,8 @@
 	}
 }
 
-// An engine's load headers hold nonsense, and its events are as large as a disk.
-// The answer passes or ends in an error; nothing grows without bound.
+// Guards against unbounded memory use if an engine sends invalid load headers and an
+// endless event. The response must end with an error.
 func TestHostileEngine(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n" +
 		"Engine-Load: -7\r\nEngine-Incarnation: x\r\nEngine-State: leaving\r\n\r\n"
@@ -74,9 +74,9 @@
 			}
 		}
 	})
-	text := fleetText([]string{b.address}, nil)
-	text.Services[0].MaxAttempts = 1
-	i := startInstance(t, text, proxy.Options{})
+	cfg := fleetText([]string{b.address}, nil)
+	cfg.Services[0].MaxAttempts = 1
+	i := startInstance(t, cfg, proxy.Options{})
 	got := send(t, newChat(t, i.url, true, nil))
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.Equal(t, string(reason.BrokenStream), got.header.Get(proxy.HeaderReason))
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -9,11 +9,11 @@
 	"strconv"
 )
 
-// maxEvent bounds one server-sent event, and so the memory that an engine can
-// take of this instance for one stream.
+// maxEvent limits the size of a server-sent event in bytes, and so the memory of this
+// instance that an engine can use for one stream.
 const maxEvent = 1 << 20
 
-// endMark is the data of the event that ends a whole chat stream.
+// endMark is the data of the event that ends a complete chat stream.
 const endMark = "[DONE]"
 
 var (
@@ -22,25 +22,27 @@
 	errNoEndMark     = errors.New("proxy: stream ended without its end mark")
 )
 
-// streamEvent is one whole server-sent event.
+// streamEvent is one complete server-sent event.
 type streamEvent struct {
-	// text is the event as it came, with its closing blank line. It is valid
-	// until the next read.
+	// text is the event as received, including the blank line that ends it. It is
+	// valid until the next read.
 	text []byte
 	// id is the event's number, or 0 if it has none.
 	id uint64
-	// data tells an event from a comment that only keeps the connection alive.
+	// data is set on an event with data, unlike a comment that only keeps the
+	// connection alive.
 	data bool
 	// end is set on the event that carries the end mark.
 	end bool
 }
 
-// eventReader cuts a stream into whole events.
+// eventReader splits a stream into complete events.
 //
-// Only whole events reach the caller: when an engine dies inside an event, the
-// resumed stream can begin at an event's start and nothing is sent twice.
+// Only complete events are sent to the caller: if an engine fails within an event, the
+// resumed stream starts at the beginning of an event and nothing is sent twice.
 type eventReader struct {
-	in   *bufio.Reader
+	in *bufio.Reader
+	// text holds the event that is being read.
 	text []byte
 }
 
@@ -69,10 +71,10 @@
 	}
 }
 
-// partial tells whether the reading ended inside an event.
+// partial reports whether reading ended within an event.
 func (r *eventReader) partial() bool { return len(r.text) > 0 }
 
-// line adds one line to the text and returns it without its end.
+// line appends one line to the text and returns it without its line ending.
 func (r *eventReader) line() ([]byte, error) {
 	start := len(r.text)
 	for {
@@ -90,6 +92,7 @@
 	}
 }
 
+// take parses one line of the event.
 func (e *streamEvent) take(line []byte) {
 	field, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -102,14 +105,14 @@
 	}
 }
 
-// sequence follows the numbers of a stream's events across resumptions.
+// sequence tracks the event numbers of a stream across resumptions.
 type sequence struct {
 	last uint64
 }
 
-// check tells whether the event is new. An event seen before is a repeat, to be
-// dropped. Where every number is given, one left out is an error, for the caller
-// would lack a part of its answer without any sign of it.
+// check reports whether the event is new; a repeated event must be dropped. If
+// everyNumber is set, event numbers are contiguous and a gap is an error, because the
+// caller would miss a part of the response without notice.
 func (s *sequence) check(e streamEvent, everyNumber bool) (bool, error) {
 	switch {
 	case e.id == 0:
--- a/internal/proxy/events_test.go
+++ b/internal/proxy/events_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readEvents returns the events of a stream and the error in which it ended.
+// readEvents returns the events of a stream and the error that ended it.
 func readEvents(r io.Reader) ([]streamEvent, error) {
 	events := newEventReader(r)
 	var all []streamEvent
@@ -24,8 +24,8 @@
 	}
 }
 
-// FuzzEvents reads any bytes: the events must be whole, in their order, the same
-// however the bytes arrive, and nothing of an unfinished event may come out.
+// FuzzEvents reads arbitrary bytes. The events must be complete and in order, must not
+// depend on how the bytes arrive, and must not include an incomplete event.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {}\n\nid: 2\ndata: [DONE]\n\n"))
 	f.Add([]byte(": alive\n\ndata: cut"))
@@ -40,7 +40,7 @@
 		rest := text
 		for _, e := range whole {
 			i := bytes.Index(rest, e.text)
-			require.GreaterOrEqual(t, i, 0, "an event that the stream does not hold")
+			require.GreaterOrEqual(t, i, 0, "an event that the stream does not contain")
 			rest = rest[i+len(e.text):]
 			require.True(t, bytes.HasSuffix(e.text, []byte("\n")))
 		}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,11 +12,12 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// effectQueue holds the effects of one request: at most an attempt and a final
-// answer wait at a time, for an attempt follows only on the end of the last.
+// effectQueue is the capacity of a request's effect queue. At most one attempt and
+// one Finish wait at a time, because the core sends the next attempt only after the
+// previous one has ended.
 const effectQueue = 4
 
-// exchange is one caller's request and its answer.
+// exchange is one caller's request and its response.
 type exchange struct {
 	server  *Server
 	ctx     *fasthttp.RequestCtx
@@ -31,9 +32,9 @@
 	// current is the call of the running attempt.
 	current *call
 	attempt int
-	// cancelled is the last attempt that nobody waits for.
+	// cancelled is the highest number of a cancelled attempt.
 	cancelled int
-	// over is set once the core gave the final answer.
+	// over is set once the core has sent Finish.
 	over bool
 }
 
@@ -51,7 +52,7 @@
 	return x
 }
 
-// run carries a request from its arrival to the first byte of its answer.
+// run processes a request from its arrival to the first byte of its response.
 func (x *exchange) run() {
 	x.server.register(x)
 	if c, ok := x.ctx.Conn().(*callerConn); ok {
@@ -72,7 +73,7 @@
 	}
 }
 
-// deliver takes an effect from the core's goroutine.
+// deliver accepts an effect from the core's goroutine. It never blocks.
 func (x *exchange) deliver(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.CancelAttempt:
@@ -84,12 +85,13 @@
 	select {
 	case x.effects <- effect:
 	default:
-		// The queue holds more than the core may send, so this is never reached;
-		// to block here would stop every other request.
+		// This case is unreachable, because the queue holds more effects than the core
+		// sends. Blocking here would stop every other request.
 	}
 }
 
-// cut ends the running call, so that its goroutine comes back for what is next.
+// cut cancels the running call of the given attempt or an earlier one, so that its
+// goroutine returns to process the next effect. If over is set, it cancels any call.
 func (x *exchange) cut(attempt int, over bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -100,7 +102,8 @@
 	}
 }
 
-// enter makes c the running call. It is cancelled at once if nobody waits for it.
+// enter makes c the running call. It cancels c at once if the attempt has been
+// cancelled already.
 func (x *exchange) enter(attempt int, c *call) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -110,7 +113,7 @@
 	}
 }
 
-// ended reports the end of an attempt.
+// ended logs the end of an attempt and posts it to the core.
 func (x *exchange) ended(event core.AttemptEnded, err error) {
 	event.Request = x.id
 	if err != nil {
@@ -122,14 +125,14 @@
 	x.server.post(event)
 }
 
-// leave ends the exchange's part in the server.
+// leave stops the watch on the caller's connection and unregisters the exchange.
 func (x *exchange) leave() {
 	x.unwatch()
 	x.server.forget(x.id)
 }
 
-// finish writes the final answer: the failure that a backend server answered, or the
-// fleet's own.
+// finish writes the final response: the held failure response of a backend server, or
+// one that the fleet itself generates.
 func (x *exchange) finish(e core.Finish) {
 	x.answer.abandon()
 	x.leave()
@@ -143,8 +146,8 @@
 // newRequest builds the request of one attempt.
 func (x *exchange) newRequest(e *core.SendAttempt) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
-	left := e.Deadline.Sub(x.server.options.Now())
-	x.server.options.Dialect.WriteAttempt(req, &x.ctx.Request, e, left)
+	remaining := e.Deadline.Sub(x.server.options.Now())
+	x.server.options.Dialect.WriteAttempt(req, &x.ctx.Request, e, remaining)
 	req.SetRequestURI("http://" + e.Address + x.request.Target)
 	if body := x.ctx.PostBody(); len(body) > 0 {
 		req.SetBodyRaw(body)
@@ -152,8 +155,8 @@
 	return req
 }
 
-// outcomeOf types the end of a call that brought no answer. One byte handed to
-// the kernel may have reached the backend server, whatever failed after it.
+// outcomeOf classifies a call that returned no response. Once the kernel has accepted
+// one byte, the byte may have reached the backend server.
 func outcomeOf(c *call) retry.Outcome {
 	if c.sent() {
 		return retry.Unknown
@@ -161,11 +164,11 @@
 	return retry.NotSent
 }
 
-// finishReason is for the error that ends a broken answer's body.
+// finishReason returns the error that ends the body of a broken response.
 func finishReason(e core.Finish) error {
 	why := e.Reason
 	if why == reason.None {
 		why = reason.BrokenStream
 	}
-	return fmt.Errorf("proxy: answer ended early: %s", why)
+	return fmt.Errorf("proxy: response ended early: %s", why)
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -29,17 +29,17 @@
 	poll    = 5 * time.Millisecond
 )
 
-// instance is one entry instance: the real core, loop and proxy over TCP, with
-// the platform's and the peers' effects left out.
+// instance runs the real core, loop and proxy over TCP. It ignores effects that concern
+// the platform and the peers.
 type instance struct {
 	server  *proxy.Server
 	loop    *daemon.Loop
 	address string
 	url     string
 	stopped chan struct{}
-	// closed is closed once the listener is.
+	// closed is closed once the listener is closed.
 	closed chan struct{}
-	// notReady is called when the instance says that it is not ready.
+	// notReady is called when the instance reports that it is not ready.
 	notReady func()
 
 	mu       sync.Mutex
@@ -49,7 +49,7 @@
 	dialled  map[proxy.DialReason]int
 }
 
-// Execute carries out the effects that concern the proxy.
+// Execute executes the effects that concern the proxy.
 func (i *instance) Execute(effect core.Effect) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -124,8 +124,8 @@
 	return i.finishes[len(i.finishes)-1]
 }
 
-// startInstance starts an instance in front of the text's backend servers.
-func startInstance(t testing.TB, text config.Text, o proxy.Options) *instance {
+// startInstance starts an instance with the given configuration.
+func startInstance(t testing.TB, cfg config.Text, o proxy.Options) *instance {
 	t.Helper()
 	i := &instance{
 		stopped: make(chan struct{}),
@@ -144,7 +144,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	t.Cleanup(func() { _ = listener.Close() })
-	encoded, err := json.Marshal(text)
+	encoded, err := json.Marshal(cfg)
 	require.NoError(t, err)
 	i.loop.Post(core.ConfigOffered{Envelope: config.Envelope{Generation: 1, Edit: "e1", Text: string(encoded)}})
 	go func() { _ = i.loop.Run(ctx, i) }()
@@ -152,7 +152,8 @@
 	return i
 }
 
-// fleetText declares a model service and a plain service.
+// fleetText returns a configuration with a model service and a plain service at the given
+// addresses.
 func fleetText(model, plain []string) config.Text {
 	servers := func(kind string, addresses []string) []config.BackendServer {
 		var list []config.BackendServer
@@ -161,20 +162,20 @@
 		}
 		return list
 	}
-	text := config.Text{Customers: []config.Customer{{Name: "branch-recife"}}}
+	cfg := config.Text{Customers: []config.Customer{{Name: "branch-recife"}}}
 	add := func(name string, kind config.Kind, list []config.BackendServer) {
 		if len(list) > 0 {
-			text.Services = append(text.Services, config.Service{
+			cfg.Services = append(cfg.Services, config.Service{
 				Name: name, Kind: kind, BackendServers: list, MaxAttempts: 3, Capacity: 4096,
 			})
 		}
 	}
 	add("underwriting", config.Model, servers("engine", model))
 	add("portal", config.Plain, servers("portal", plain))
-	return text
+	return cfg
 }
 
-// startEngines starts engines whose answers have eight tokens.
+// startEngines starts n engines whose responses have eight tokens.
 func startEngines(t testing.TB, n int, interval time.Duration) ([]*engine.Server, []string) {
 	t.Helper()
 	var engines []*engine.Server
@@ -210,12 +211,12 @@
 	return req
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err is the error in which the body ended.
+	// err is the error that ended the body.
 	err error
 }
 
@@ -226,7 +227,7 @@
 	return got
 }
 
-// call sends a request; an error means that no answer came at all.
+// call sends a request. It returns an error only if no response was received.
 func call(req *http.Request) (reply, error) {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -237,7 +238,7 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}, nil
 }
 
-// eventIDs lists the numbers of the body's events in their order.
+// eventIDs returns the event numbers of the body in order.
 func eventIDs(body string) []string {
 	var ids []string
 	lines := bufio.NewScanner(strings.NewReader(body))
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -11,7 +11,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// Headers of the callers' interface.
+// Headers between callers and the fleet.
 const (
 	HeaderCustomer   = "Ebonydyke-Customer"
 	HeaderChat       = "Ebonydyke-Chat"
@@ -24,24 +24,24 @@
 	HeaderBackend    = "Ebonydyke-Backend"
 	HeaderOutcome    = "Ebonydyke-Outcome"
 	HeaderReason     = "Ebonydyke-Reason"
-	// HeaderFirst says on a duplicate what is known of the first request.
+	// HeaderFirst reports on a duplicate request what is known of the first request.
 	HeaderFirst = "Ebonydyke-First"
 )
 
 // Headers between the fleet and its backend servers.
 const (
-	// HeaderNotStarted with the value "true" on an error answer is the backend
-	// server's word that it did not start the request.
+	// HeaderNotStarted with the value "true" on an error response states that the
+	// backend server did not start the request.
 	HeaderNotStarted = "Engine-Not-Started"
-	// HeaderLoad is the number of requests that the backend server works on.
+	// HeaderLoad is the number of requests in flight at the backend server.
 	HeaderLoad = "Engine-Load"
-	// HeaderIncarnation grows with each start of the backend server.
+	// HeaderIncarnation is a number that increases with each start of the backend server.
 	HeaderIncarnation = "Engine-Incarnation"
 	// HeaderState is "live" or "leaving".
 	HeaderState = "Engine-State"
-	// HeaderStreamID names a stream that can be resumed and cancelled.
+	// HeaderStreamID identifies a stream that can be resumed and cancelled.
 	HeaderStreamID = "Engine-Stream-Id"
-	// HeaderEnginePriority passes the caller's priority on; higher goes first.
+	// HeaderEnginePriority is the caller's priority; a higher priority is served first.
 	HeaderEnginePriority = "Engine-Priority"
 	// HeaderLastEventID is the number of the last event that was received.
 	HeaderLastEventID = "Last-Event-ID"
@@ -52,7 +52,7 @@
 	enginePrefix = "Engine-"
 )
 
-// hopByHop are the headers that concern one connection only. RFC 9110, 7.6.1.
+// hopByHop is the set of headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -66,11 +66,13 @@
 	"Expect":              true,
 }
 
-// forwarded are the fleet's request headers that a backend server has a use for:
-// the chat, by which it finds a cached prefix, and the id, for its own log.
+// forwarded is the set of the fleet's request headers that are sent to backend servers:
+// the chat, by which an engine finds a cached prefix, and the request ID, for its logs.
 var forwarded = map[string]bool{HeaderChat: true, HeaderRequestID: true}
 
-// copyRequestHeaders sets the headers of a request to a backend server.
+// copyRequestHeaders copies a caller's headers to a request to a backend server. It
+// omits hop-by-hop headers, engine headers and the fleet's headers that are not
+// forwarded.
 func copyRequestHeaders(to, from *fasthttp.RequestHeader) {
 	from.CopyTo(to)
 	named := NamedByConnection(from.Peek("Connection"))
@@ -87,8 +89,8 @@
 	}
 }
 
-// copyResponseHeaders passes a backend server's headers on to the caller, but for
-// those of the fleet and its engines.
+// copyResponseHeaders copies a backend server's headers to the caller's response, except
+// hop-by-hop headers and those of the fleet and its engines.
 func copyResponseHeaders(to, from *fasthttp.ResponseHeader) {
 	CopyEndToEnd(to, from)
 	for _, key := range from.PeekKeys() {
@@ -98,8 +100,8 @@
 	}
 }
 
-// CopyEndToEnd copies the headers of an answer that do not concern one connection
-// only. The length is left out: the copy is framed anew.
+// CopyEndToEnd copies the headers of a response that are not hop-by-hop. It omits
+// Content-Length, because the copy has its own framing.
 func CopyEndToEnd(to, from *fasthttp.ResponseHeader) {
 	named := NamedByConnection(from.Peek("Connection"))
 	for key, value := range from.All() {
@@ -110,7 +112,8 @@
 	}
 }
 
-// NamedByConnection lists the headers that a Connection header makes hop-by-hop.
+// NamedByConnection returns the set of headers that a Connection header makes
+// hop-by-hop.
 func NamedByConnection(value []byte) map[string]bool {
 	if len(value) == 0 {
 		return nil
@@ -123,8 +126,8 @@
 	return named
 }
 
-// loadOf reads what an answer's headers say of the backend server's load, or
-// returns nil if they say nothing that can be read.
+// loadOf parses the backend server's load from the headers of a response. It returns
+// nil if they hold no valid load.
 func loadOf(backend string, h *fasthttp.ResponseHeader, now time.Time) *membership.Report {
 	inFlight, err := strconv.Atoi(string(h.Peek(HeaderLoad)))
 	if err != nil || inFlight < 0 {
@@ -138,10 +141,11 @@
 	return report
 }
 
-// maxRetryAfter is the longest wait that a backend server is believed to ask for.
+// maxRetryAfter caps the Retry-After of a backend server.
 const maxRetryAfter = time.Hour
 
-// RetryAfterOf reads a Retry-After of seconds, whole ones or with a fraction.
+// RetryAfterOf parses a Retry-After header in seconds, with or without a fraction. It
+// returns 0 if the header is missing or invalid.
 func RetryAfterOf(h *fasthttp.ResponseHeader) time.Duration {
 	seconds, err := strconv.ParseFloat(string(h.Peek("Retry-After")), 64)
 	if err != nil || !(seconds >= 0) {
@@ -150,11 +154,11 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// isEventStream tells whether an answer's body is a stream of server-sent events.
+// isEventStream reports whether the body of a response is a stream of server-sent events.
 func isEventStream(h *fasthttp.ResponseHeader) bool {
 	return bytes.HasPrefix(h.ContentType(), []byte(eventStream))
 }
 
-// HopByHop tells whether a header concerns one connection only, by its own name or
-// because the message's Connection header names it.
+// HopByHop reports whether a header is hop-by-hop, either by its own name or because the
+// message's Connection header names it.
 func HopByHop(name string, named map[string]bool) bool { return hopByHop[name] || named[name] }
--- a/internal/proxy/heldanswer.go
+++ b/internal/proxy/heldanswer.go
@@ -10,29 +10,30 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// heldAnswer is a whole answer that is kept until it is known to be the last word.
+// heldAnswer is a whole failure response that is buffered until the core decides
+// whether another attempt follows.
 type heldAnswer struct {
 	header fasthttp.ResponseHeader
 	body   []byte
 	send   core.SendAttempt
 }
 
-// holdFailure reads a failure to its end and reports it. One that is cut, or too
-// large to hold, is a broken answer.
-func (a *answer) holdFailure() {
-	body, err := io.ReadAll(io.LimitReader(a.call, wholeBody+1))
+// holdFailure reads a failure response to its end and reports it. A response that is
+// cut, or too large to buffer, is reported as broken.
+func (r *answer) holdFailure() {
+	body, err := io.ReadAll(io.LimitReader(r.call, wholeBody+1))
 	if err != nil || len(body) > wholeBody {
-		a.lost(retry.Broken, "", fmt.Errorf("%w, and it is not whole: %w", errFailed, err))
+		r.lost(retry.Broken, "", fmt.Errorf("%w with an incomplete body: %w", errFailed, err))
 		return
 	}
-	held := &heldAnswer{body: body, send: a.send}
-	a.resp.Header.CopyTo(&held.header)
-	a.failure = held
-	a.closeCall(true)
-	a.end(core.AttemptEnded{Outcome: retry.Failed}, errFailed)
+	held := &heldAnswer{body: body, send: r.send}
+	r.resp.Header.CopyTo(&held.header)
+	r.failure = held
+	r.closeCall(true)
+	r.end(core.AttemptEnded{Outcome: retry.Failed}, errFailed)
 }
 
-// write makes the held answer the caller's.
+// write sends the held response to the caller.
 func (h *heldAnswer) write(x *exchange) {
 	out := &x.ctx.Response
 	x.server.options.Dialect.WriteHead(&out.Header, &h.header, x.request, &h.send)
--- a/internal/proxy/input_test.go
+++ b/internal/proxy/input_test.go
@@ -19,9 +19,9 @@
 
 const chatHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: fleet\r\nEbonydyke-Customer: branch-recife\r\n"
 
-// A caller sends what cannot be served: broken, huge, or made to be read in two
-// ways. It gets a 4xx with a reason, or its connection is closed; the refusal is
-// counted, nothing reaches a backend server, and the next request is served.
+// A caller sends an invalid, oversized or ambiguous request, as used for request
+// smuggling. It must receive an error status with a reason; the refusal must be counted,
+// nothing may reach a backend server, and the next request must be served.
 func TestBadInput(t *testing.T) {
 	chat := func(body string) string {
 		return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", chatHead, len(body), body)
@@ -82,8 +82,9 @@
 	require.Equal(t, http.StatusOK, send(t, newChat(t, i.url, true, nil)).status)
 }
 
-// A caller sends 100 MB, reads the answer only after the last byte, and must read
-// why it was refused, not a reset. The instance holds no more than its limit of it.
+// A caller that sends 100 MB and reads the response only after the last byte must receive
+// the reason for the refusal and not a connection reset. The instance buffers no more of
+// the body than its limit.
 func TestHugeBodyIsToldWhy(t *testing.T) {
 	_, addresses := startEngines(t, 1, time.Millisecond)
 	i := startInstance(t, fleetText(addresses, nil), proxy.Options{})
@@ -101,8 +102,8 @@
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 }
 
-// More callers connect than the instance has memory for. Those beyond the limit are
-// told so at once, and a place that becomes free is used again.
+// A connection over the limit must be refused at once with the reason "overloaded". After
+// another connection is closed, a new one must be accepted.
 func TestConnectionLimit(t *testing.T) {
 	_, addresses := startEngines(t, 1, time.Millisecond)
 	i := startInstance(t, fleetText(addresses, nil), proxy.Options{MaxConns: 2})
@@ -124,13 +125,13 @@
 	}, waitFor, poll)
 }
 
-// A caller keeps a connection open and takes nothing of its answer, and another
-// takes it slowly. The first is cut and its engine freed; the second is let be.
+// A caller that reads nothing of its response must be disconnected, and its stream at the
+// engine cancelled. A caller that reads slowly must not be disconnected.
 func TestSlowReaders(t *testing.T) {
 	engines, addresses := startEngines(t, 1, 0)
 	engines[0].Tokens = 1 << 30
-	// The stall begins once the connection's buffers are full, at four megabytes: of
-	// small events that is more than a busy machine writes in ten seconds.
+	// The stall begins once the connection's buffers of four megabytes are full. With
+	// small events a busy machine does not fill them within ten seconds.
 	engines[0].Padding = 4 << 10
 	i := startInstance(t, fleetText(addresses, nil), proxy.Options{WriteStall: time.Second})
 	open := func() net.Conn {
@@ -141,8 +142,8 @@
 	open()
 	require.Eventually(t, func() bool { return engines[0].Stats().Cancelled == 1 }, waitFor, poll,
 		"the stream of a caller that reads nothing is still open")
-	// The kernel reports room only in steps, of up to a sixteenth of its receive
-	// buffer: the reader is well above one step in a write stall.
+	// The kernel opens its receive window only in steps of up to a sixteenth of the
+	// receive buffer. The reader consumes well over one step per WriteStall.
 	slow := open()
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; {
 		time.Sleep(50 * time.Millisecond)
@@ -151,8 +152,8 @@
 	require.Equal(t, 1, engines[0].Stats().Cancelled, "a caller that reads slowly was cut")
 }
 
-// What concerns one connection only stays on it, what is the fleet's own stays in
-// the fleet, and all else passes both ways.
+// Hop-by-hop headers and the fleet's private headers must not be forwarded; all other
+// headers must be forwarded in both directions.
 func TestHeadersPass(t *testing.T) {
 	var got *http.Request
 	b := startRaw(t, func(_ int, r *http.Request, conn net.Conn) bool {
@@ -167,7 +168,7 @@
 		"X-Desk": "ferry", "Connection": "X-Once", "X-Once": "1", "Te": "trailers", "Idempotency-Key": "k1",
 		proxy.HeaderPriority: "7", proxy.HeaderPlacement: "hint", proxy.HeaderDeadline: "5000", "Engine-Priority": "9",
 	}))
-	require.Equal(t, 418, resp.status, "a backend server's own error is an answer")
+	require.Equal(t, 418, resp.status, "an error status of a backend server is passed to the caller")
 	require.Equal(t, "abc", resp.body)
 	require.Equal(t, string(reason.Answered), resp.header.Get(proxy.HeaderOutcome))
 	require.Equal(t, "portal-1", resp.header.Get(proxy.HeaderBackend))
@@ -189,7 +190,7 @@
 	}
 }
 
-// HEAD and answers without a body keep their framing.
+// Responses to HEAD and responses without a body must keep their framing.
 func TestAnswersWithoutBody(t *testing.T) {
 	b := startRaw(t, func(_ int, r *http.Request, conn net.Conn) bool {
 		if r.Method == "HEAD" {
--- a/internal/proxy/interfaces_test.go
+++ b/internal/proxy/interfaces_test.go
@@ -12,8 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHeadersAreDocumented looks for each declared header on the page of the
-// interfaces.
+// TestHeadersAreDocumented checks that docs/INTERFACES.md mentions each declared header.
 func TestHeadersAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/INTERFACES.md")
 	require.NoError(t, err)
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -15,11 +15,11 @@
 	"github.com/ebonydyke/ebonydyke/internal/proxy"
 )
 
-// tokenInterval gives streams of 0.4 s, so that at 256 streams an instance begins
-// about 300 a second: eight times what it sees at the two-year peak.
+// tokenInterval yields streams of 0.4 s, so that with 256 concurrent streams an instance
+// starts about 300 streams per second: eight times the two-year peak.
 const tokenInterval = 50 * time.Millisecond
 
-// firstBytes are the times to the first byte, in nanoseconds.
+// firstBytes records times to first byte in nanoseconds.
 type firstBytes struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -39,9 +39,10 @@
 	return float64(f.hist.ValueAtQuantile(quantile)) / 1e3
 }
 
-// BenchmarkFirstByte measures the time to the first byte that the instance adds:
-// each worker calls the engine directly and through the instance in turn, so both
-// meet the same machine. Caller, instance and engine share one process.
+// BenchmarkFirstByte measures how much the instance adds to the time to first byte. Each
+// worker alternates between direct requests to the engine and requests through the
+// instance, so that both run under the same machine load. Caller, instance and engine
+// share one process.
 func BenchmarkFirstByte(b *testing.B) {
 	for _, streams := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
@@ -109,8 +110,8 @@
 	return took
 }
 
-// BenchmarkStreamMemory measures the heap and stacks that one open stream takes,
-// the engine's and the caller's share included: an upper bound for the instance.
+// BenchmarkStreamMemory measures the heap and stack memory per open stream. It includes
+// the memory of the engine and the caller, so it is an upper bound for the instance.
 func BenchmarkStreamMemory(b *testing.B) {
 	const streams = 256
 	for range b.N {
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -6,14 +6,14 @@
 	"k8s.io/klog/v2"
 )
 
-// logLines bounds the log lines that wait to be written.
+// logLines is the capacity of the queue of log lines.
 const logLines = 1024
 
-// logQueue writes log lines without holding up those who have something to say.
+// logQueue writes log lines asynchronously.
 //
-// Whoever reads the process's log may stop reading; the next write to it then
-// blocks. If it were the core's goroutine, or a request's, everything would wait
-// for the log. Lines without room are dropped and counted.
+// A write to the log blocks if the process that reads the log stops reading. The core's
+// goroutine and the goroutines of requests must not wait for that. If the queue is full,
+// lines are dropped and counted.
 type logQueue struct {
 	lines   chan logLine
 	dropped atomic.Int64
--- a/internal/proxy/log_test.go
+++ b/internal/proxy/log_test.go
@@ -11,8 +11,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// The reader of the log hangs, and with it every writer of a line. No request may
-// wait for that: lines beyond the queue are dropped, and the loss is counted.
+// Guards against requests that block because the reader of the log hangs. Lines must be
+// dropped and counted if the queue is full.
 func TestStuckLogHoldsNobodyUp(t *testing.T) {
 	q := &logQueue{lines: make(chan logLine, logLines)}
 	for range logLines + 7 {
@@ -21,9 +21,9 @@
 	require.EqualValues(t, 7, q.dropped.Load())
 }
 
-// A caller complains of a 504. The line of the ended attempt said that the backend server
-// had answered with a failure, and not with which: whether it was late, sick or full could
-// not be told from the logs.
+// Guards against a log line of an ended attempt that omits the status of the backend
+// server's failure response. Without it, a timeout, a faulty server and an overloaded
+// server cannot be told apart in the logs.
 func TestTheLineOfAnEndedAttemptSaysTheStatus(t *testing.T) {
 	q := &logQueue{lines: make(chan logLine, 1)}
 	x := &exchange{id: "r1", server: &Server{log: q, post: func(core.Event) {}}}
@@ -35,8 +35,8 @@
 	require.Equal(t, 504, line.keysAndValues[at+1])
 }
 
-// Requests crowded on engines, and the lines said that each engine had told its load just
-// now. Most had told nothing.
+// Guards against a log line that shows a missing load report as a report of age 0. This
+// happened while requests concentrated on engines, most of which had not reported a load.
 func TestTheLineOfAnAttemptTellsNoReportFromAFreshOne(t *testing.T) {
 	for age, want := range map[time.Duration]int64{-1: -1, 0: 0, 1500 * time.Millisecond: 1500} {
 		q := &logQueue{lines: make(chan logLine, 1)}
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -19,23 +19,23 @@
 	servicePrefix = "/services/"
 )
 
-// Limits of what a caller may say in its headers.
+// Limits of the values in a caller's headers.
 const (
 	maxDeadline = 24 * time.Hour
 	maxPriority = 9
 	maxName     = 256
 )
 
-// Native is the fleet's own interface: chat completions by model name, and plain
-// services under /services/NAME/.
+// Native is the dialect of the fleet's own interface: chat completions by model name,
+// and plain services under /services/NAME/.
 type Native struct{}
 
-// ReadRequest reads a chat or a call on a plain service.
+// ReadRequest parses a chat or a request to a plain service.
 func (Native) ReadRequest(ctx *fasthttp.RequestCtx, id core.RequestID, now time.Time) (*Request, *Rejection) {
 	h := &ctx.Request.Header
 	if !h.IsHTTP11() {
-		// An HTTP/1.0 answer of unknown length ends with its connection, so its
-		// caller could not tell a cut answer from a whole one.
+		// An HTTP/1.0 response of unknown length ends when the connection closes, so the
+		// caller could not tell a truncated response from a whole one.
 		return nil, &Rejection{http.StatusHTTPVersionNotSupported, reason.BadRequest, "HTTP/1.1 is needed"}
 	}
 	r := &Request{Arrived: core.RequestArrived{
@@ -54,9 +54,9 @@
 	return r, nil
 }
 
-// readNativeHeaders reads the headers that have a form of their own. One that cannot
-// be read is refused: to guess "idempotent" where a caller meant to say otherwise
-// could run its request twice.
+// readNativeHeaders parses and validates the fleet's headers. It rejects a request with
+// an invalid header: to assume that a request is idempotent although its caller meant
+// the opposite could run the request twice.
 func readNativeHeaders(r *Request, h *fasthttp.RequestHeader, now time.Time) *Rejection {
 	for _, name := range []string{HeaderCustomer, HeaderChat, HeaderKey} {
 		if len(h.Peek(name)) > maxName {
@@ -86,8 +86,8 @@
 }
 
 func readNativeTarget(r *Request, ctx *fasthttp.RequestCtx) *Rejection {
-	// The path goes on as it came: decoding it here could turn a part of it into
-	// a query or another path at the backend server.
+	// The path is forwarded unchanged: decoding it here could turn a part of it into a
+	// query or a different path at the backend server.
 	path := string(ctx.URI().PathOriginal())
 	if path == chatPath {
 		return readChat(r, ctx)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// queryOf is the query as it came, with its mark.
+// queryOf returns the query as received, with its question mark, or "".
 func queryOf(ctx *fasthttp.RequestCtx) string {
 	query := ctx.URI().QueryString()
 	if len(query) == 0 {
@@ -134,14 +134,15 @@
 	return nil
 }
 
-// WriteAttempt drops the headers that concern the fleet or one connection only.
+// WriteAttempt copies the caller's headers without hop-by-hop headers and headers that
+// are meant for the fleet.
 func (Native) WriteAttempt(to, from *fasthttp.Request, e *core.SendAttempt, _ time.Duration) {
 	copyRequestHeaders(&to.Header, &from.Header)
 	to.Header.Set(HeaderRequestID, string(e.Request))
 }
 
-// ReadHead takes every answer for the backend server's own, unless it says that it
-// did not start the request: backend servers of this interface mark nothing else.
+// ReadHead accepts every response except one which states that the backend server did
+// not start the request: backend servers of this interface mark no other kind.
 func (Native) ReadHead(h *fasthttp.ResponseHeader, r *Request, e *core.SendAttempt, now time.Time) Head {
 	head := Head{
 		Load:   loadOf(e.Backend, h, now),
@@ -160,7 +161,7 @@
 	return head
 }
 
-// WriteHead passes a head on with what the fleet says of it.
+// WriteHead copies the header and adds the fleet's own headers.
 func (Native) WriteHead(to, from *fasthttp.ResponseHeader, _ *Request, e *core.SendAttempt) {
 	copyResponseHeaders(to, from)
 	to.Set(HeaderRequestID, string(e.Request))
@@ -169,7 +170,7 @@
 	to.Set(HeaderPlacement, e.Placement)
 }
 
-// WriteFinal says in headers and body what the caller may conclude.
+// WriteFinal reports the outcome and its reason in headers and body.
 func (Native) WriteFinal(out *fasthttp.Response, _ *Request, e *core.Finish) {
 	out.SetStatusCode(nativeStatus(e))
 	out.Header.SetContentType("application/json")
@@ -185,10 +186,10 @@
 	out.SetBodyRaw(encodeError(message(e), e.Outcome, e.Reason))
 }
 
-// statusCallerGone is for the log; nobody reads an answer with it.
+// statusCallerGone is only logged, because the caller has disconnected.
 const statusCallerGone = 499
 
-// nativeStatus is the status of a final answer.
+// nativeStatus returns the status code of a final response.
 func nativeStatus(e *core.Finish) int {
 	switch {
 	case e.Outcome == reason.Duplicate:
@@ -214,7 +215,7 @@
 	}
 }
 
-// WriteRejection answers a request that never reached the core.
+// WriteRejection writes the response to a request that did not reach the core.
 func (Native) WriteRejection(out *fasthttp.Response, id core.RequestID, rejected *Rejection) {
 	out.SetStatusCode(rejected.Status)
 	out.Header.SetContentType("application/json")
@@ -224,26 +225,26 @@
 	out.SetBodyRaw(encodeError(rejected.Text, reason.NotRun, rejected.Why))
 }
 
-// BrokenEvent is the end of a stream that could not be completed. The missing final
-// chunk says the same to callers that do not read events.
+// BrokenEvent returns the error event that ends an incomplete stream. Callers that do
+// not parse events detect the incomplete stream by the missing final chunk.
 func (Native) BrokenEvent(_ *Request, e *core.Finish) []byte {
 	text := encodeError(message(e), e.Outcome, e.Reason)
 	return fmt.Appendf(nil, "event: error\ndata: %s\n\n", text)
 }
 
-// retireNotice is the answer to a request that crosses the closing of an idle
-// connection. Callers that have no request out take it for a closed connection,
-// as RFC 9110 says of status 408.
+// retireNotice is the response to a request that crosses the close of an idle
+// connection. A caller without an outstanding request treats it as a closed connection,
+// as RFC 9110 specifies for status 408.
 const retireNotice = "HTTP/1.1 408 Request Timeout\r\n" +
 	"Connection: close\r\nContent-Length: 0\r\n" +
 	HeaderOutcome + ": not-run\r\n" + HeaderReason + ": stopping\r\nRetry-After: 1\r\n\r\n"
 
-// RetireNotice tells a caller that its request did not run.
+// RetireNotice returns a response which states that the request did not run.
 func (Native) RetireNotice() []byte { return []byte(retireNotice) }
 
-// notStarted tells whether the backend server says that it did not start the
-// request. Only its explicit word counts: a bare 503 may come from a server that
-// failed half way, so it is passed on as the answer.
+// notStarted reports whether the response states that the backend server did not start
+// the request. Only the explicit header counts: a plain 503 may come from a server that
+// failed while processing the request, so it is passed to the caller.
 func notStarted(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() >= fasthttp.StatusBadRequest && string(h.Peek(HeaderNotStarted)) == "true"
 }
@@ -252,7 +253,7 @@
 	return fmt.Sprintf("request %s: %s: %s", e.Request, e.Outcome, e.Reason)
 }
 
-// errorBody is the JSON body of an answer that the fleet makes itself.
+// errorBody is the JSON body of a response that the fleet itself generates.
 type errorBody struct {
 	Error struct {
 		Message string         `json:"message"`
--- a/internal/proxy/native_test.go
+++ b/internal/proxy/native_test.go
@@ -10,8 +10,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// Each refusal of the core has its status in the fleet's own interface. The core
-// itself names outcomes and reasons only.
+// Checks the status code of each refusal in the fleet's own interface. The core defines
+// only outcomes and reasons.
 func TestStatusesOfTheNativeInterface(t *testing.T) {
 	for _, tt := range []struct {
 		outcome reason.Outcome
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -7,46 +7,47 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// Options are the proxy's limits. The zero value of each stands for its default.
+// Options configures the proxy. The zero value of each field selects its default.
 type Options struct {
-	// Dialect is how callers and backend servers speak; Native when nil.
+	// Dialect translates the HTTP conventions of callers and backend servers; Native if nil.
 	Dialect Dialect
-	// Now is the time by which the core decides; time.Now when nil.
+	// Now returns the time of the core's clock; time.Now if nil.
 	Now func() time.Time
-	// Metrics is told what happens; nil counts nothing.
+	// Metrics receives the proxy's measurements; if nil, they are discarded.
 	Metrics Metrics
-	// MaxConns is the largest number of callers' connections.
+	// MaxConns is the maximum number of connections from callers.
 	MaxConns int
-	// MaxBody is the largest request body in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int
-	// MaxHeader is the largest header in bytes, of requests and of answers.
+	// MaxHeader is the maximum size of the header of a request or response in bytes.
 	MaxHeader int
-	// ReadTimeout bounds the reading of one whole request.
+	// ReadTimeout limits the time to read a whole request.
 	ReadTimeout time.Duration
-	// CallerIdle is how long a caller's connection is kept without a request. It
-	// must be longer than the balancer keeps its own idle connections, or this
-	// end closes one at the moment at which the balancer sends on it.
+	// CallerIdle is the idle timeout of a caller's connection. It must be longer than the
+	// idle timeout of the load balancer; otherwise the proxy may close a connection at
+	// the moment at which the load balancer sends a request on it.
 	CallerIdle time.Duration
-	// WriteStall is how long a caller may take no byte at all of its answer.
+	// WriteStall is the time after which a caller that accepts no byte of its response is
+	// disconnected.
 	WriteStall time.Duration
-	// AcceptQuiet is how long no new connection must have come before a stopping
-	// instance closes its listener, and AcceptMax bounds the wait for that.
+	// AcceptQuiet is the time without new connections after which a stopping instance
+	// closes its listener. AcceptMax limits the wait for such a period.
 	AcceptQuiet time.Duration
 	AcceptMax   time.Duration
-	// DrainIdle is how long a caller's connection must have been silent before a
-	// stopping instance closes it.
+	// DrainIdle is the time after which a stopping instance closes an idle connection of
+	// a caller.
 	DrainIdle time.Duration
-	// DialTimeout bounds the opening of a connection to a backend server, for a
-	// request's first attempt; it doubles with each further one.
+	// DialTimeout limits the time to open a connection to a backend server in the first
+	// attempt of a request; it doubles with each further attempt.
 	DialTimeout time.Duration
-	// BackendIdle is how long a connection to a backend server is kept unused, if the
-	// server does not say how long it keeps it.
+	// BackendIdle is the idle timeout of a connection to a backend server that does not
+	// announce its own.
 	BackendIdle time.Duration
-	// Inactivity is how long a backend server may be silent within an answer.
+	// Inactivity limits the time between two reads of a backend server's response body.
 	Inactivity time.Duration
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultMaxConns    = 8192
 	DefaultMaxBody     = 8 << 20
@@ -86,17 +87,19 @@
 	o.Inactivity = cmp.Or(o.Inactivity, DefaultInactivity)
 }
 
-// Metrics counts what the proxy sees. Its methods are called from many goroutines.
+// Metrics receives the proxy's measurements. Its methods must be safe for concurrent
+// use.
 type Metrics interface {
-	// Refused counts a final answer of the fleet's own: a refusal or a failure.
+	// Refused counts a final response that the fleet itself generated: a refusal or a
+	// failure.
 	Refused(reason.Reason)
 	// Retried counts an attempt beyond a request's first.
 	Retried(reason.Reason)
-	// Answered counts a whole answer and its time to the first byte and to the end.
+	// Answered records a whole response with its times to the first and last byte.
 	Answered(service string, first, whole time.Duration)
-	// CallerBytes counts bytes of answers' bodies.
+	// CallerBytes counts bytes of response bodies that are sent to callers.
 	CallerBytes(n int)
-	// Dialled counts a connection to a backend server that was opened or tried.
+	// Dialled counts an attempt to open a connection to a backend server.
 	Dialled(DialReason)
 }
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,12 +14,12 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// BadRequestf is the rejection of a request that cannot be understood.
+// BadRequestf returns a rejection with status 400 and a formatted message.
 func BadRequestf(format string, args ...any) *Rejection {
 	return &Rejection{Status: http.StatusBadRequest, Why: reason.BadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
-// reject answers a request that never reached the core.
+// reject writes the response to a request that did not reach the core.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, id core.RequestID, rejected *Rejection) {
 	s.record(&core.Finish{
 		Request: id,
@@ -29,8 +29,8 @@
 	s.options.Dialect.WriteRejection(&ctx.Response, id, rejected)
 }
 
-// badRequest answers what the HTTP library could not read. The library closes the
-// connection afterwards, for where the next request begins is not known.
+// badRequest writes the response to a request that the HTTP library could not read. The
+// library then closes the connection, because the start of the next request is unknown.
 func (s *Server) badRequest(ctx *fasthttp.RequestCtx, err error) {
 	rejected := BadRequestf("the request cannot be read")
 	var small *fasthttp.ErrSmallBuffer
@@ -48,13 +48,14 @@
 	s.reject(ctx, s.nextID(), rejected)
 }
 
-// headerBytes is the size of a request's first line and headers as they came.
+// headerBytes returns the size of the request line and headers as received, including
+// the blank line that ends them.
 func headerBytes(h *fasthttp.RequestHeader) int {
 	const protocol = len("  HTTP/1.1\r\n")
 	return len(h.Method()) + len(h.RequestURI()) + protocol + len(h.RawHeaders())
 }
 
-// seconds rounds up, so that nobody comes back too early.
+// seconds formats d in whole seconds. It rounds up so that no caller retries too early.
 func seconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The configuration's limit is on the first line and the headers as the caller wrote
-// them: one byte off would refuse a caller that keeps to it.
+// The configured limit applies to the request line and headers exactly as the caller sent
+// them: an error of one byte would refuse a caller that keeps to the limit.
 func TestHeaderBytesAreThoseOfTheCaller(t *testing.T) {
 	const body = "abc"
 	head := "POST /review/7?draft=1 HTTP/1.1\r\nHost: h.example\r\nX-Own:  spaced \r\nContent-Length: 3\r\n\r\n"
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -13,10 +13,10 @@
 	"github.com/ebonydyke/ebonydyke/internal/proxy"
 )
 
-// A zone is cut off silently while a request is on its way to a server there, and its
-// caller gives up. Ten seconds later the cut heals, and the server gets the request:
-// the connection was closed in order, so the kernel kept its bytes and delivered them.
-// An abandoned connection must be reset, which takes back what was not received.
+// Guards against the delivery of an abandoned request. A zone is cut off silently while a
+// request is in flight, and its caller disconnects. After an orderly close the kernel
+// keeps the request's bytes and delivers them once the cut heals, ten seconds later. The
+// connection must therefore be reset, which discards the bytes that were not received.
 func TestAnAbandonedRequestIsTakenBack(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/proxy/reuse.go
+++ b/internal/proxy/reuse.go
@@ -12,26 +12,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// When a kept connection may carry the next request.
+// Rules for reusing a pooled connection.
 //
-// A request that must run at most once has one sending. If its connection turns out to
-// be dead, nobody can tell whether it ran, and its caller gets an error; a connection
-// that cannot be opened is known to have carried nothing, and the request goes
-// elsewhere. So a kept one is used only where the two ways in which it dies unseen are
-// ruled out: its server closes it at the end of the time that it said, while the request
-// is on its way; or the way to the server is cut in silence. A server that is killed
-// resets its connections, which shows before the next use.
+// A request that must run at most once is sent only once. If its connection turns out to
+// be dead, it is unknown whether the request ran, and the caller receives an error. If a
+// connection cannot be opened, the request has certainly not been sent and moves to
+// another server. A pooled connection is therefore reused only if the two ways in which
+// it can fail unnoticed are ruled out: the server closes it at the end of its idle
+// timeout while the request is in flight, or the network path is cut silently. A server
+// that is killed resets its connections, which is detected before the next use.
 const (
-	// keepMargin is how long before the time that a server said a connection is no
-	// longer used. Servers say whole seconds, so the true time may be one less.
+	// keepMargin is subtracted from the idle timeout that a server announces. Servers
+	// announce whole seconds, so the actual timeout may be up to one second shorter.
 	keepMargin = time.Second
-	// zoneSilence is how long nothing may have come from any server of a zone until the
-	// way there is doubted: as long as it takes to find by a new connection that the way
-	// is cut. A silent cut takes the requests of so long; without the doubt, one for each
-	// kept connection. Where a zone is heard less often, connections are fresh, which is
-	// the safe side.
+	// zoneSilence is the time without bytes from any server of a zone after which pooled
+	// connections to the zone are not reused. It equals the time in which a new connection
+	// detects that the path is cut. A silent cut then loses only the requests sent within
+	// this time; without the rule it would lose one request per pooled connection. If a
+	// zone sends less often than this, new connections are opened, which is safe.
 	zoneSilence = 150 * time.Millisecond
-	// longestKept is when the pool drops a connection whatever its server said.
+	// longestKept is the idle time after which the pool closes a connection, even if its
+	// server announced a longer timeout.
 	longestKept = 30 * time.Second
 )
 
@@ -40,20 +41,22 @@
 
 // The reasons for opening a connection.
 const (
-	// NoneIdle: every kept connection was in use, or there was none.
+	// NoneIdle means that the pool held no idle connection.
 	NoneIdle DialReason = "none-idle"
-	// ServerClosed: the server had closed the kept one, or sent what nobody asked for.
+	// ServerClosed means that the server had closed the pooled connection or sent
+	// unexpected bytes on it.
 	ServerClosed DialReason = "server-closed"
-	// IdleTooLong: the server might close the kept one at any moment.
+	// IdleTooLong means that the server might close the pooled connection at any moment.
 	IdleTooLong DialReason = "idle-too-long"
-	// ZoneSilent: nothing came from the server's zone of late, so the way may be cut.
+	// ZoneSilent means that no bytes have arrived from the server's zone recently, so the
+	// network path may be cut.
 	ZoneSilent DialReason = "zone-silent"
 )
 
-// DialReasons are all reasons for opening a connection.
+// DialReasons lists all reasons for opening a connection.
 var DialReasons = []DialReason{NoneIdle, ServerClosed, IdleTooLong, ZoneSilent}
 
-// unfit tells why a kept connection must not carry the next request, or "".
+// unfit returns the reason why the connection must not be reused, or "" if it may be.
 func (c *backendConn) unfit(zone *zoneContact, now time.Time) DialReason {
 	switch {
 	case now.Sub(c.idleSince) > c.keepLimit():
@@ -67,7 +70,7 @@
 	}
 }
 
-// keepLimit is how long the connection may have been unused.
+// keepLimit returns the longest idle time after which the connection may be reused.
 func (c *backendConn) keepLimit() time.Duration {
 	if c.keep == 0 {
 		return c.unstatedKeep
@@ -75,11 +78,11 @@
 	return c.keep - keepMargin
 }
 
-// quiet tells whether an idle connection is open and silent.
+// quiet reports whether an idle connection is open and has no bytes to read.
 //
-// A backend server may close a kept connection at any time, and a late answer to
-// a request that was given up would be taken for the next one's. Either shows as
-// something to read on a connection where nothing may arrive.
+// A backend server may close a pooled connection at any time, and a late response to an
+// abandoned request would be taken for the response to the next request. Both are
+// detected by a read, without consuming bytes, on a connection that must be silent.
 func (c *backendConn) quiet() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -99,7 +102,8 @@
 	return err == nil && quiet
 }
 
-// statedKeepAlive is how long a server says that it keeps a connection unused, or 0.
+// statedKeepAlive returns the idle timeout that a server announces in its Keep-Alive
+// header, or 0 if it announces none.
 func statedKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
 	for field := range strings.SplitSeq(string(h.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -111,21 +115,23 @@
 	return 0
 }
 
-// zoneContact is when something last came from the backend servers of a zone, over any
-// connection of this instance.
+// zoneContact holds the time at which bytes last arrived from the backend servers of a
+// zone, on any connection of this instance.
 type zoneContact struct {
-	// heard is in nanoseconds since the Unix epoch by the core's clock; 0 for never.
+	// heard is in nanoseconds since the Unix epoch by the core's clock; 0 means never.
 	heard atomic.Int64
 }
 
+// heardAt records that bytes arrived at now.
 func (z *zoneContact) heardAt(now time.Time) { z.heard.Store(now.UnixNano()) }
 
+// silence returns the time since bytes last arrived.
 func (z *zoneContact) silence(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, z.heard.Load()))
 }
 
-// zoneContacts holds the contact with each zone. The operators' zones are few, so none
-// is ever dropped.
+// zoneContacts holds the last contact with each zone. Entries are never removed, because
+// operators configure few zones.
 type zoneContacts struct {
 	mu     sync.Mutex
 	byName map[string]*zoneContact
@@ -135,6 +141,7 @@
 	return &zoneContacts{byName: make(map[string]*zoneContact)}
 }
 
+// of returns the entry of a zone and creates it if necessary.
 func (z *zoneContacts) of(name string) *zoneContact {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/proxy/reuse_test.go
+++ b/internal/proxy/reuse_test.go
@@ -14,18 +14,18 @@
 	"github.com/ebonydyke/ebonydyke/internal/proxy"
 )
 
-// pastZoneSilence is longer than a zone may be silent.
+// pastZoneSilence is longer than zoneSilence.
 const pastZoneSilence = 400 * time.Millisecond
 
 func answerKept(conn net.Conn, seconds int) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=%d\r\n\r\nok", seconds)
 }
 
-// oneBackend is a portal of one backend server that is asked once for each request.
+// oneBackend returns a configuration with one backend server and one attempt per request.
 func oneBackend(address string) config.Text {
-	text := fleetText(nil, []string{address})
-	text.Services[0].MaxAttempts = 1
-	return text
+	cfg := fleetText(nil, []string{address})
+	cfg.Services[0].MaxAttempts = 1
+	return cfg
 }
 
 // runOnce sends a request that must run at most once.
@@ -34,9 +34,9 @@
 	return send(t, newCall(t, "POST", i.url+"/services/portal/x", "", headers{proxy.HeaderIdempotent: "false"}))
 }
 
-// Receipts that must be recorded once come one after another, and each opened a
-// connection of its own: on a day, four connections for five requests, and the wait for
-// each. They share one while its server keeps it.
+// Guards against a new connection for each request that must run at most once; on one day
+// four connections were opened for five requests, each with a delay. Such requests must
+// reuse one connection while its server keeps it open.
 func TestRequestsThatRunOnceShareAConnection(t *testing.T) {
 	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		answerKept(conn, 10)
@@ -51,9 +51,9 @@
 	require.Equal(t, 1, i.dials(proxy.NoneIdle))
 }
 
-// A receipt is sent on a kept connection at the moment at which its server closes it for
-// having been unused: the caller hears that it may have run, and nobody can ask again.
-// A connection is left before the time that its server named.
+// Guards against a request that is sent at the moment at which the server closes the idle
+// connection: its outcome is unknown, and it cannot be retried. A connection must not be
+// reused shortly before the idle timeout that its server announced.
 func TestAConnectionIsLeftBeforeItsServerClosesIt(t *testing.T) {
 	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		answerKept(conn, 1)
@@ -65,7 +65,7 @@
 	require.Equal(t, 1, i.dials(proxy.IdleTooLong))
 }
 
-// A server says nothing of how long it keeps connections. The setting holds.
+// If a server announces no idle timeout, the BackendIdle setting applies.
 func TestUnstatedKeepGoesByTheSetting(t *testing.T) {
 	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		answerOK(conn, "ok")
@@ -82,10 +82,10 @@
 	require.Equal(t, 1, short.dials(proxy.IdleTooLong))
 }
 
-// A zone is cut off in silence. A receipt goes out on a kept connection to a server
-// there, nothing comes back, and its caller waits until the deadline and is told that it
-// may have run. After a silence of the zone the way is tried first: it cannot be opened,
-// so the receipt has not run, and the caller hears so at once.
+// Guards against a request that is sent on a pooled connection to a zone which has been
+// cut off silently: its caller would wait until the deadline and receive an unknown
+// outcome. If the zone has been silent, a new connection must be opened instead. The
+// dial fails, and the caller receives the outcome "not-run" at once.
 func TestASilentZoneIsTriedBeforeItIsTrusted(t *testing.T) {
 	b := startRaw(t, func(nth int, _ *http.Request, conn net.Conn) bool {
 		if nth > 1 {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -1,6 +1,6 @@
-// Package proxy moves the bytes of requests and answers between callers and
-// backend servers. It decides nothing: it posts events to the core and carries
-// out the effects that come back for each request.
+// Package proxy forwards requests and responses between callers and backend servers.
+// It makes no routing decisions: it posts events to the core and executes the effects
+// that the core returns for each request.
 package proxy
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// drainInterval is how often a stopping server looks for idle connections.
+// drainInterval is the interval at which a stopping server checks for idle connections.
 const drainInterval = 20 * time.Millisecond
 
-// Server takes callers' requests.
+// Server accepts callers' requests and forwards them to backend servers.
 type Server struct {
 	post     func(core.Event)
 	options  Options
@@ -28,7 +28,9 @@
 	backends *fasthttp.Client
 	zones    *zoneContacts
 	engine   *engineClient
-	leaving  atomic.Bool
+	// leaving is set while the load balancer must not send new requests.
+	leaving atomic.Bool
+	// sequence and prefix form the request IDs.
 	sequence atomic.Uint64
 	log      *logQueue
 	prefix   string
@@ -38,13 +40,13 @@
 	conns     map[*callerConn]struct{}
 	listener  net.Listener
 	closing   bool
-	// lastOpened is when the last connection came.
+	// lastOpened is the time of the last new connection.
 	lastOpened time.Time
 	// served is set once the accept loop has ended.
 	served bool
 }
 
-// New returns a server that posts its events with post.
+// New returns a server that posts its events to the core with post.
 func New(post func(core.Event), o Options) *Server {
 	o.fill()
 	log := newLogQueue()
@@ -76,11 +78,11 @@
 	return s
 }
 
-// discardLogger drops the library's own lines: they hold callers' addresses and
-// repeat what badRequest logs.
+// discardLogger discards the log lines of the HTTP library: they contain callers'
+// addresses and repeat what badRequest logs.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf discards a line.
 func (discardLogger) Printf(string, ...any) {}
 
 func connState(conn net.Conn, state fasthttp.ConnState) {
@@ -97,7 +99,7 @@
 	}
 }
 
-// Serve takes connections until CloseListener.
+// Serve accepts connections until CloseListener closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -114,16 +116,16 @@
 	return s.http.Serve(callerListener{Listener: l, server: s})
 }
 
-// SetReady says whether the balancer may send new requests. While it may not,
-// every answer asks its caller to close the connection.
+// SetReady sets whether the load balancer may send new requests. While it may not,
+// every response asks the caller to close the connection.
 func (s *Server) SetReady(ready bool) { s.leaving.Store(!ready) }
 
-// CloseListener stops taking connections once none has come for AcceptQuiet. Open
-// ones go on. It returns when the listener is closed.
+// CloseListener closes the listener once no new connection has arrived for AcceptQuiet,
+// and then returns. Open connections continue.
 //
-// Closing a listener resets the connections that the kernel has taken and this
-// process has not: the balancer reads a reset for an answer to a request that
-// nobody read. New connections show that it still sends here.
+// Closing a listener resets the connections in its accept queue, so the load balancer
+// would receive a reset for requests that were not read. New connections show that the
+// load balancer still sends requests to this instance.
 func (s *Server) CloseListener() {
 	s.mu.Lock()
 	s.closing = true
@@ -139,39 +141,40 @@
 	go s.Drain()
 }
 
-// quiet tells whether no connection has come for long enough, or connections have
-// come for so long that somebody sends here whatever the balancer says.
+// quiet reports whether no connection has arrived for AcceptQuiet, or whether the wait
+// has exceeded AcceptMax: some client then connects regardless of readiness.
 func (s *Server) quiet(begun time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(begun) > s.options.AcceptMax {
-		klog.InfoS("listener closed while connections still come", "waited", s.options.AcceptMax)
+		klog.InfoS("closing the listener although new connections still arrive", "waited", s.options.AcceptMax)
 		return true
 	}
 	return time.Since(s.lastOpened) >= s.options.AcceptQuiet
 }
 
 // Drain waits until the listener and the last connection are closed. Requests in
-// progress and those that still arrive on open connections are served; no timer cuts
-// one. Only a connection that has been silent for DrainIdle is closed from this end.
+// progress, and requests that still arrive on open connections, are served without a
+// time limit. Only a connection that has been idle for DrainIdle is closed by the server.
 func (s *Server) Drain() {
 	for !s.closeIdle() {
 		time.Sleep(drainInterval)
 	}
 }
 
-// closeIdle retires the connections that are silent and tells whether none is left.
+// closeIdle retires idle connections and reports whether the accept loop has ended and
+// no connection is left.
 func (s *Server) closeIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	silent := time.Now().Add(-s.options.DrainIdle)
+	idleBefore := time.Now().Add(-s.options.DrainIdle)
 	for c := range s.conns {
-		c.retire(silent)
+		c.retire(idleBefore)
 	}
 	return s.served && len(s.conns) == 0
 }
 
-// connOpened takes a new connection in, if there is a place for it.
+// connOpened registers a new connection. It returns false if MaxConns is reached.
 func (s *Server) connOpened(c *callerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +192,7 @@
 	delete(s.conns, c)
 }
 
-// Deliver hands an effect to the goroutine of its request. It never blocks.
+// Deliver passes an effect to the goroutine of its request. It never blocks.
 func (s *Server) Deliver(id core.RequestID, effect core.Effect) {
 	s.mu.Lock()
 	x := s.exchanges[id]
@@ -208,11 +211,12 @@
 	}
 }
 
-// Log writes a line without holding up the caller; lines beyond what can be written
-// are dropped and counted.
+// Log queues a log line without blocking. If the queue is full, the line is dropped and
+// counted.
 func (s *Server) Log(text string, keysAndValues ...any) { s.log.put(text, keysAndValues...) }
 
-// logAttempt tells where a request goes and what that choice rested on.
+// logAttempt logs the backend server selected for an attempt and the inputs of the
+// selection.
 func (s *Server) logAttempt(e *core.SendAttempt) {
 	b := &e.Selection
 	s.log.put("attempt", "request", e.Request, "attempt", e.Attempt, "backend", e.Backend, "address", e.Address,
@@ -223,7 +227,8 @@
 		"waitedMs", b.Waited.Milliseconds())
 }
 
-// ageMillis is -1 for what has no age. Rounded, it would say that it is of this moment.
+// ageMillis returns age in milliseconds, or -1 if there is no report (a negative age).
+// Rounding a negative age could yield 0, which means a report of this moment.
 func ageMillis(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -231,18 +236,18 @@
 	return age.Milliseconds()
 }
 
-// record counts and logs a final answer of the fleet's own.
+// record counts and logs a final response that the fleet itself generated.
 func (s *Server) record(e *core.Finish, detail string) {
 	s.options.Metrics.Refused(e.Reason)
-	s.log.put("request ended without an answer", "request", e.Request, "outcome", e.Outcome,
+	s.log.put("request refused or failed", "request", e.Request, "outcome", e.Outcome,
 		"reason", e.Reason, "customer", e.Customer, "service", e.Service,
 		"backend", e.Backend, "attempt", e.Attempt, "retryAfterMs", e.RetryAfter.Milliseconds(),
 		"passedOn", e.ForwardFailure, "load", e.Utilization.Load, "capacity", e.Utilization.Capacity, "servers", e.Utilization.Servers,
 		"detail", detail)
 }
 
-// localTime gives a time of the core's clock as one that a connection's deadline can
-// be set to: with the steady clock's reading, which no step of the time of day moves.
+// localTime converts a time of the core's clock to a connection deadline. The result has
+// a monotonic clock reading, so steps of the wall clock do not move it.
 func (s *Server) localTime(t time.Time) time.Time {
 	return time.Now().Add(t.Sub(s.options.Now()))
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -20,15 +20,15 @@
 
 var wholeStream = []string{"1", "2", "3", "4", "5", "6", "7", "8", "9"}
 
-// A member's review stalls, repeats a line or stops half way. The engine's
-// connection dies, freezes, loses or repeats an event, or ends without its end
-// mark while the answer runs. The caller must get every event once, from the one
-// stream it began with, or an error it cannot take for the answer's end.
+// The engine's connection breaks or freezes, loses or repeats an event, or ends without
+// the end mark during a response. The caller must receive every event once, from the
+// stream that the response started with, or an error that it cannot mistake for the end
+// of the response.
 func TestStreamFaults(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault engine.Fault
-		// want is the events of a whole answer, or nil if it must end in an error.
+		// want lists the events of a whole response, or is nil if it must end with an error.
 		want    []string
 		resumed int
 	}{
@@ -64,7 +64,7 @@
 				require.True(t, strings.HasSuffix(got.body, "data: [DONE]\n\n"))
 				return
 			}
-			require.ErrorContains(t, got.err, "unexpected EOF", "an answer without its end must not look whole")
+			require.ErrorContains(t, got.err, "unexpected EOF", "an incomplete response must not look complete")
 			require.Contains(t, got.body, "event: error\n")
 			require.NotContains(t, got.body, "[DONE]")
 			require.Equal(t, reason.Unknown, i.lastFinish().Outcome)
@@ -81,12 +81,13 @@
 	for _, m := range tokenSource.FindAllStringSubmatch(body, -1) {
 		sources[m[1]] = true
 	}
-	require.LessOrEqual(t, len(sources), 1, "tokens of several runs in one answer: %v", sources)
+	require.LessOrEqual(t, len(sources), 1, "tokens of several runs in one response: %v", sources)
 }
 
-// An engine dies with a stream that has begun, and another engine stands by. The
-// caller must not get the rest from the other one: two engines' samples make no
-// answer. Before the first event, an idempotent request moves to the other.
+// An engine fails while another engine is available. After the first event, the caller
+// must not receive the rest of the stream from the other engine, because the outputs of
+// two engines do not form one response. Before the first event, an idempotent request
+// must move to the other engine.
 func TestStreamNeverMovesOnceBegun(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -119,13 +120,12 @@
 	}
 }
 
-// A caller leaves while its request waits at an engine, or in the middle of its
-// answer. Nobody reads on, so the engine must be told to stop: else it works for
-// nobody while others queue.
+// A caller disconnects before or during its response. The stream must be cancelled at the
+// engine; otherwise the engine continues the work while other requests are queued.
 func TestCallerGoneCancelsEngine(t *testing.T) {
 	tests := []struct {
 		name string
-		// read is how many bytes the caller takes before it leaves.
+		// read is the number of bytes that the caller reads before it disconnects.
 		read  int
 		fault engine.Fault
 	}{
@@ -146,15 +146,15 @@
 			require.Eventually(t, func() bool {
 				s := engines[0].Stats()
 				return s.InFlight == 0 && s.Cancelled == 1
-			}, waitFor, poll, "the engine still works for a caller that has gone")
+			}, waitFor, poll, "the engine still works for a caller that has disconnected")
 			require.Eventually(t, func() bool { return i.lastFinish().Reason == reason.CallerGone }, waitFor, poll)
 		})
 	}
 }
 
-// An engine dies and a new process takes its address. It numbers its streams from
-// one again, so the resumption finds a stream of the same name: another caller's.
-// Its incarnation gives it away, and the caller gets an error, not its bytes.
+// An engine fails and a new process takes its address. The new process numbers its
+// streams from one again, so the resumption finds another caller's stream with the same
+// ID. The incarnation differs, so the caller must receive an error and not that stream.
 func TestResumeOfAnotherIncarnation(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n" +
 		"Engine-Stream-Id: 1\r\nEngine-Incarnation: %d\r\n\r\n"
@@ -171,9 +171,9 @@
 	require.NotContains(t, got.body, "text of caller 2")
 }
 
-// An engine's machine dies after it promised a stream and before the first event.
-// The stream can't be resumed there any more, and nothing of it went to the caller:
-// an idempotent review runs on another engine, with the attempts that are left.
+// An engine's machine fails after the response header of a stream and before the first
+// event. The stream cannot be resumed there, and nothing of it was sent to the caller. An
+// idempotent request must run on another engine with the remaining attempts.
 func TestStreamOfDeadMachineRunsElsewhere(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n" +
 		"Engine-Stream-Id: 1\r\nEngine-Incarnation: 1\r\n\r\n"
--- a/internal/proxy/transport.go
+++ b/internal/proxy/transport.go
@@ -12,50 +12,52 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxBackendConns bounds the connections to one backend server; admission stays
-// far below it.
+// maxBackendConns limits the connections to one backend server. Admission keeps the
+// number of requests far below it.
 const maxBackendConns = 1 << 14
 
-// callKey is the request's user value that holds its call.
+// callKey is the key of the request's user value that holds its call.
 const callKey = "call"
 
 var (
 	errCallCancelled = errors.New("proxy: call cancelled")
 	errInactive      = errors.New("proxy: backend server silent for too long")
-	errUnframed      = errors.New("proxy: answer framed by the connection's end only")
+	errUnframed      = errors.New("proxy: response without a length ended by connection close")
 )
 
-// call is one request to a backend server over one connection, and its answer.
+// call is one request to a backend server on one connection, with its response.
 type call struct {
 	resp     *fasthttp.Response
 	deadline time.Time
-	// unframed takes the connection's orderly end for the end of an answer without a
+	// unframed is set if an orderly close of the connection ends a response without a
 	// length.
 	unframed bool
-	// zone is what is known of the way to the backend server's availability zone.
+	// zone records the last contact with the backend server's availability zone.
 	zone *zoneContact
 	now  func() time.Time
-	// dialled is why a connection was opened for the call; "" if it has a kept one.
+	// dialled is the reason why a connection was opened for the call; "" if a pooled
+	// connection was reused.
 	dialled DialReason
 	// count counts the connections that are opened.
 	count func(DialReason)
-	// first bounds the wait for the first bytes of the answer, if not 0.
+	// first limits the wait for the first bytes of the response, if not 0.
 	first time.Duration
-	// inactivity bounds the silence between two reads of the answer's body.
+	// inactivity limits the time between two reads of the response body.
 	inactivity time.Duration
-	// dial bounds the opening of a connection.
+	// dial limits the time to open a connection.
 	dial time.Duration
-	// begun is set once a byte of the answer's body has come.
+	// begun is set once a byte of the response body has been read.
 	begun bool
-	// firstAt is when the first bytes must have come, once it is worked out.
+	// firstAt is the deadline for the first bytes of the response, or zero until
+	// firstDeadline computes it.
 	firstAt time.Time
 
 	host *fasthttp.HostClient
-	// give returns the connection to the pool, or closes it.
+	// give returns the connection to the pool if reuse is set, or closes it.
 	give func(reuse bool)
 	in   *bufio.Reader
-	// length is the answer's, or fasthttp's mark for a chunked one (-1) or one
-	// that ends with its connection (-2).
+	// length is the Content-Length of the response, or one of fasthttp's values for a
+	// chunked body (-1) and for a body that ends when the connection closes (-2).
 	length int
 
 	mu        sync.Mutex
@@ -63,7 +65,7 @@
 	cancelled bool
 }
 
-// attach ties the call to its connection, so that cancel can cut it.
+// attach assigns the connection to the call, so that cancel can reset it.
 func (c *call) attach(conn *backendConn) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// cancel ends the call from any goroutine. Its connection is closed and not
-// pooled: an answer that comes late must meet no other request.
+// cancel ends the call; any goroutine may call it. It resets the connection instead of
+// returning it to the pool, because a late response must not reach another request.
 func (c *call) cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,8 +89,9 @@
 	}
 }
 
-// detach takes the connection out of cancel's reach and tells whether it was
-// never cut. The call's deadline must not strike the connection's next use.
+// detach removes the connection from the call, so that cancel no longer affects it, and
+// reports whether the call was not cancelled. It clears the call's deadline, which must
+// not apply to the connection's next use.
 func (c *call) detach() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,26 +100,27 @@
 	return err == nil && !c.cancelled
 }
 
-// sent tells whether any byte of the request may have left.
+// sent reports whether any byte of the request may have been sent.
 func (c *call) sent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn != nil && c.conn.written.Load() > 0
 }
 
-// transport sends each request exactly once.
+// transport sends each request at most once.
 //
-// The client's own transport sends again when a connection fails, also on a kept
-// connection that the server closed: a request that runs twice without any
-// caller having asked twice. RoundTrip always says that it may not.
+// The default transport of the client library resends a request when a connection fails,
+// for example a pooled connection that the server has closed. The request could then run
+// twice although the caller sent it once. RoundTrip therefore always returns false, which
+// forbids a retry.
 type transport struct{}
 
-// RoundTrip sends the request and reads the answer's header. The call that the
-// request carries then owns the connection.
+// RoundTrip sends the request and reads the response header. The call in the request's
+// user values then owns the connection.
 func (transport) RoundTrip(hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (bool, error) {
 	c, ok := req.UserValue(callKey).(*call)
 	if !ok {
-		return false, errors.New("proxy: request without a call")
+		return false, errors.New("proxy: request has no call")
 	}
 	if err := c.connect(hc); err != nil {
 		return false, err
@@ -130,15 +134,15 @@
 	return false, nil
 }
 
-// connect takes a kept connection that is still good for the request, or dials.
+// connect acquires a pooled connection that may be reused, or opens a new one.
 func (c *call) connect(hc *fasthttp.HostClient) error {
 	why := NoneIdle
 	for {
-		left := time.Until(c.deadline)
-		if left <= 0 {
+		remaining := time.Until(c.deadline)
+		if remaining <= 0 {
 			return fasthttp.ErrTimeout
 		}
-		cc, err := hc.AcquireConn(min(left, c.dial), false)
+		cc, err := hc.AcquireConn(min(remaining, c.dial), false)
 		if err != nil {
 			c.opened(why)
 			return fmt.Errorf("proxy: connect: %w", err)
@@ -146,7 +150,7 @@
 		conn, ok := cc.Conn().(*backendConn)
 		if !ok {
 			hc.CloseConn(cc)
-			return errors.New("proxy: connection of another kind")
+			return errors.New("proxy: unexpected connection type")
 		}
 		if conn.kept() {
 			if unfit := conn.unfit(c.zone, c.now()); unfit != "" {
@@ -168,24 +172,25 @@
 	}
 }
 
-// opened notes why a connection was opened, or was to be.
+// opened records the reason why a connection was opened or why opening one was tried.
 func (c *call) opened(why DialReason) {
 	c.dialled = why
 	c.count(why)
 }
 
-// take makes an acquired connection the call's, which gives it back with give.
-func (c *call) take(conn *backendConn, give func(reuse bool)) error {
-	kept := conn.kept()
+// take attaches an acquired connection to the call. The call passes the connection to
+// release when it ends.
+func (c *call) take(conn *backendConn, release func(reuse bool)) error {
+	reused := conn.kept()
 	if err := c.attach(conn); err != nil {
-		give(kept)
+		release(reused)
 		return err
 	}
-	c.give = give
+	c.give = release
 	return nil
 }
 
-// exchangeHeaders writes the whole request and reads the answer up to its body.
+// exchangeHeaders writes the whole request and reads the response up to its body.
 func (c *call) exchangeHeaders(req *fasthttp.Request, resp *fasthttp.Response) error {
 	if err := c.conn.SetDeadline(c.firstDeadline()); err != nil {
 		return fmt.Errorf("proxy: set deadline: %w", err)
@@ -208,8 +213,9 @@
 	return nil
 }
 
-// Read reads the answer's body. It gives io.EOF only at the end that the
-// answer's own framing marks; any other end is an error.
+// Read reads the response body. It returns io.EOF only at the end that the framing of
+// the response marks, or at the close of the connection if unframed is set; any other
+// end is an error.
 func (c *call) Read(p []byte) (int, error) {
 	body := c.resp.BodyStream()
 	if body == nil {
@@ -230,15 +236,15 @@
 	case isTimeout(err) && time.Now().Before(c.deadline):
 		return n, errInactive
 	default:
-		return n, fmt.Errorf("proxy: read answer: %w", err)
+		return n, fmt.Errorf("proxy: read response: %w", err)
 	}
 }
 
-// framed tells whether the answer's end can be told from a cut connection.
+// framed reports whether the end of the response can be told from a cut connection.
 func (c *call) framed() bool { return c.length >= -1 }
 
-// firstDeadline is when the first bytes of the answer must have come. It is worked
-// out once, when the request is sent.
+// firstDeadline returns the deadline for the first bytes of the response. It is computed
+// once, when the request is sent.
 func (c *call) firstDeadline() time.Time {
 	if c.first > 0 && c.firstAt.IsZero() {
 		c.firstAt = earlier(time.Now().Add(c.first), c.deadline)
@@ -263,8 +269,8 @@
 	return b
 }
 
-// close ends the call. Only an answer that was read to its marked end, with
-// nothing after it, leaves the connection fit for another request.
+// close ends the call. The connection is reused only if the response was read to the end
+// that its framing marks and no bytes follow it.
 func (c *call) close(whole bool) {
 	if c.give == nil {
 		return
@@ -296,8 +302,8 @@
 func newClient(o Options) *fasthttp.Client {
 	return &fasthttp.Client{
 		Transport: transport{},
-		// The two limits below guard the same promise as transport, should a
-		// later version of the library retry above its transport.
+		// The next two settings also prevent resending, in case a later version of the
+		// library retries outside its transport.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		NoDefaultUserAgentHeader:  true,
@@ -305,8 +311,8 @@
 		MaxConnsPerHost:           maxBackendConns,
 		MaxIdleConnDuration:       max(o.BackendIdle, longestKept),
 		ReadBufferSize:            o.MaxHeader,
-		DialTimeout: func(address string, left time.Duration) (net.Conn, error) {
-			conn, err := net.DialTimeout("tcp", address, min(left, o.DialTimeout))
+		DialTimeout: func(address string, remaining time.Duration) (net.Conn, error) {
+			conn, err := net.DialTimeout("tcp", address, min(remaining, o.DialTimeout))
 			if err != nil {
 				return nil, err
 			}
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -14,30 +14,30 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/engine"
 )
 
-// answerBytes is above what the engine sends for one stream.
+// answerBytes is larger than the engine's response with one stream.
 const answerBytes = 1200
 
-// freshEach makes each request open a connection of its own, so that a cut after so many
-// bytes is a cut of that request.
+// freshEach makes each request open a new connection, so that a cut after a number of
+// bytes hits that request.
 var freshEach = proxy.Options{BackendIdle: time.Nanosecond}
 
-// startBehindRelay starts an instance whose only engine stands behind a relay.
+// startBehindRelay starts an instance that reaches its only engine through a relay.
 func startBehindRelay(t *testing.T, o proxy.Options) (*instance, *engine.Server, *relay.Relay) {
 	t.Helper()
 	engines, addresses := startEngines(t, 1, 0)
 	r, err := relay.Start(addresses[0])
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	text := fleetText([]string{r.Address()}, nil)
-	text.Services[0].RetryShare = 1
-	return startInstance(t, text, o), engines[0], r
+	cfg := fleetText([]string{r.Address()}, nil)
+	cfg.Services[0].RetryShare = 1
+	return startInstance(t, cfg, o), engines[0], r
 }
 
-// A switch fails at any moment of an answer: the connection is reset after any
-// number of bytes, from the header's first to the final chunk. A non-idempotent
-// review that was cut in its header may have run and is said to be unknown; cut
-// anywhere behind, it is resumed and the caller gets every event once. It runs
-// once, and "not-run" is never said of it.
+// The connection to the engine is reset after any number of response bytes, from the
+// first byte of the header to the final chunk. If a request that is not idempotent is
+// cut within the header, it may have run and its outcome must be "unknown". After a later
+// cut, it must be resumed and the caller must receive every event once. It must run
+// once, and its outcome must never be "not-run".
 func TestCutAtAnyByteOfTheAnswer(t *testing.T) {
 	i, e, r := startBehindRelay(t, freshEach)
 	whole, unknown := 0, 0
@@ -46,7 +46,7 @@
 		got := send(t, newChat(t, i.url, true, headers{proxy.HeaderIdempotent: "false"}))
 		if got.status != http.StatusOK {
 			unknown++
-			require.Zero(t, whole, "cut after %d bytes, behind one that came whole", cut)
+			require.Zero(t, whole, "cut after %d bytes, although an earlier cut was resumed", cut)
 			require.Equal(t, string(reason.Unknown), got.header.Get(proxy.HeaderOutcome))
 			continue
 		}
@@ -63,8 +63,8 @@
 	require.Greater(t, stats.Resumed, 50)
 }
 
-// The same on the way out: the request is cut after any number of its bytes. If
-// the engine ran it, or any byte of it left, the caller is not told "not-run".
+// The connection to the engine is cut after any number of request bytes. If the engine
+// ran the request, or any byte of it was sent, the outcome must not be "not-run".
 func TestCutAtAnyByteOfTheRequest(t *testing.T) {
 	i, e, r := startBehindRelay(t, freshEach)
 	for cut := 0; cut < 600; cut += 23 {
@@ -83,8 +83,8 @@
 	}
 }
 
-// A zone is cut off as by a pulled cable: nothing arrives and nothing is closed.
-// The review in progress is told within its deadline, on the core's own clock.
+// The network freezes: no bytes arrive and no connection is closed. A request in progress
+// must end at its deadline, by the core's clock.
 func TestFrozenNetworkEndsAtDeadline(t *testing.T) {
 	i, e, r := startBehindRelay(t, proxy.Options{Inactivity: time.Hour})
 	f := relay.None
