--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the time by which an instance decides.
+// Package clock provides the time that an instance uses for its decisions.
 package clock
 
 import (
@@ -7,36 +7,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is a time that never goes back, misses no pause and follows no step of the
-// time of day.
+// Clock is a monotonic clock that includes the time during which the machine is suspended and is
+// not affected by steps of the wall clock.
 //
-// The steady clock of the system stands still while a machine is suspended: an
-// instance that woke would take a claim for its own whose window is over, and send a
-// request that has run elsewhere. The time of day counts the suspension but is
-// stepped: a step ahead would end every request in progress as too late, one back
-// would hold them past their time. The kernel's boot-time clock counts suspensions
-// and is never stepped, so time passes with it alone.
+// The system's monotonic clock stops while a machine is suspended. After a resume, an instance
+// would treat an expired claim as still valid and send a request that has run elsewhere. The wall
+// clock includes suspensions but can be stepped: a step forward would end every request in flight
+// as late, and a step back would keep requests beyond their deadlines. The kernel's boot-time
+// clock includes suspensions and is never stepped, so Clock advances with it alone.
 type Clock struct {
 	elapsed func() time.Duration
 	start   time.Time
 }
 
-// New returns a clock of the system. It starts at the time of day.
+// New returns a clock that starts at the wall clock time and advances with the boot-time clock.
 func New() *Clock {
-	begun := sinceBoot()
-	return newClock(time.Now(), func() time.Duration { return sinceBoot() - begun })
+	base := sinceBoot()
+	return newClock(time.Now(), func() time.Duration { return sinceBoot() - base })
 }
 
 func newClock(start time.Time, elapsed func() time.Duration) *Clock {
-	// Round(0) takes the steady clock's reading out of the time of day.
+	// Round(0) strips the monotonic clock reading.
 	return &Clock{elapsed: elapsed, start: start.Round(0)}
 }
 
-// Now returns the time. It may be called from any goroutine.
+// Now returns the current time. It is safe for concurrent use.
 func (c *Clock) Now() time.Time { return c.start.Add(c.elapsed()) }
 
-// sinceBoot reads the boot-time clock. The call fails only for a clock that the
-// kernel does not have, and every kernel in use has this one.
+// sinceBoot reads the boot-time clock. The call fails only if the kernel lacks this clock, which
+// every kernel in use has.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance is suspended past the window of a claim, and its time of day is set
-// ahead and back while requests are in progress. Waking, it must see that the claim
-// is over; after the steps, it must neither end the requests nor hold them longer.
+// An instance is suspended until after the window of a claim, and its wall clock is stepped forward
+// and back while requests are in flight. After the resume the claim must count as expired. The
+// steps must neither end the requests early nor extend their deadlines.
 func TestSuspensionCountsAndStepsDoNot(t *testing.T) {
 	sinceBoot := time.Duration(0)
 	start := time.Now()
 	c := newClock(start, func() time.Duration { return sinceBoot })
 	sinceBoot = 3 * time.Second
 	require.Equal(t, start.Add(3*time.Second).UnixNano(), c.Now().UnixNano())
-	// The boot-time clock goes on through a suspension of a minute.
+	// The boot-time clock advances during a suspension of one minute.
 	sinceBoot += time.Minute
 	require.Equal(t, start.Add(63*time.Second).UnixNano(), c.Now().UnixNano())
-	// The time of day is read once, at the start: no later step of it can show.
+	// The wall clock is read only once, at the start, so later steps have no effect.
 	require.Zero(t, c.Now().Sub(c.Now()))
 }
 
-// Deadlines are compared with the clock's times. One that still held a reading of
-// the steady clock would be compared by that, which stands still when suspended.
+// Deadlines are compared with times of this clock. Times with a monotonic clock reading would be
+// compared by that reading, which does not advance while the machine is suspended.
 func TestTimesHoldNoSteadyReading(t *testing.T) {
 	c := New()
 	before := c.Now()
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -5,7 +5,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/peer"
 )
 
-// readControl returns a function that reads the links' counters.
+// readControl returns a function that reads the control traffic counters of the links.
 func readControl(links *peer.Links) func() metrics.Control {
 	return func() metrics.Control {
 		now := links.Stats().Snapshot()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -23,16 +23,16 @@
 	"github.com/ebonydyke/ebonydyke/platform"
 )
 
-// Signals are what the outside tells a running instance.
+// Signals are the requests from outside the process to a running instance.
 type Signals struct {
 	// Stop is closed to begin the graceful shutdown.
 	Stop <-chan struct{}
-	// Reload asks to read the settings file again.
+	// Reload requests that the settings file be read again.
 	Reload <-chan os.Signal
 }
 
-// Run runs one instance, whose settings were read from path, until it is told to
-// stop and its graceful shutdown is over.
+// Run runs one instance, whose settings were read from path, until a stop is requested and the
+// graceful shutdown has ended.
 func Run(signals Signals, path string, s *settings.Settings) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -70,7 +70,7 @@
 	group.Go(func() error {
 		select {
 		case <-signals.Stop:
-			klog.InfoS("told to stop", "instance", s.Name)
+			klog.InfoS("stop requested", "instance", s.Name)
 			loop.Post(core.StopRequested{})
 			cutShort(ctx, time.Duration(grace.Load()), cancel)
 		case <-ctx.Done():
@@ -91,8 +91,8 @@
 		Zone:        s.Zone,
 		PeerAddress: s.PeerListen,
 		Incarnation: incarnation,
-		// Not the clock: instances started at the same moment would draw the same
-		// claim tokens, and each would take the other's claim for its own.
+		// The seed is not taken from the clock: instances started at the same time would then
+		// generate the same claim tokens, and each would treat the other's claims as its own.
 		Seed:           rand.Uint64(),
 		AcceptDelay:    time.Duration(s.AcceptDelay),
 		StopGrace:      time.Duration(s.StopGrace),
@@ -113,25 +113,25 @@
 	})
 }
 
-// stopMargin is how long before it would be killed a stopping process ends by
-// itself: time for the last bytes to leave, at a tenth of the processor.
+// stopMargin is the time between the end of a stopping process and the time when it would be
+// killed. It suffices to send the last bytes with a tenth of a processor.
 const stopMargin = 300 * time.Millisecond
 
-// cutShort ends the process shortly before it would be killed, if grace is not 0.
-// What is cut then would be cut a moment later, without an orderly end.
+// cutShort ends the process shortly before it would be killed, unless grace is 0.
+// Requests still in progress would be aborted by the kill anyway; here they end in an orderly way.
 func cutShort(ctx context.Context, grace time.Duration, cancel context.CancelFunc) {
 	if grace == 0 {
 		return
 	}
 	select {
 	case <-time.After(max(0, grace-stopMargin)):
-		klog.InfoS("graceful shutdown cut short", "grace", grace)
+		klog.InfoS("graceful shutdown aborted at the end of the grace period", "grace", grace)
 		cancel()
 	case <-ctx.Done():
 	}
 }
 
-// dialect is the interface that the settings choose.
+// dialect returns the callers' interface that the settings select.
 func dialect(s *settings.Settings) proxy.Dialect {
 	if s.Dialect == settings.Platform {
 		return platform.Dialect{}
@@ -139,19 +139,19 @@
 	return proxy.Native{}
 }
 
-// SetVerbosity lets the log show lines of V levels up to verbosity.
+// SetVerbosity sets the highest V level that is logged.
 func SetVerbosity(verbosity int) {
 	set := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(set)
 	if err := set.Set("v", strconv.Itoa(verbosity)); err != nil {
-		klog.ErrorS(err, "verbosity not set", "verbosity", verbosity)
+		klog.ErrorS(err, "failed to set the log verbosity", "verbosity", verbosity)
 	}
 }
 
-// listeners are where an instance listens.
+// listeners holds the listeners of an instance.
 type listeners struct {
 	callers, peers, operators net.Listener
-	// ready is nil where readiness has no address of its own.
+	// ready is nil if readiness has no address of its own.
 	ready net.Listener
 }
 
@@ -173,7 +173,7 @@
 	return l, nil
 }
 
-// proxyOptions passes the limits of the settings on.
+// proxyOptions converts the limits in the settings to proxy options.
 func proxyOptions(l *settings.Limits, m proxy.Metrics) proxy.Options {
 	return proxy.Options{
 		Metrics:     m,
--- a/internal/daemon/executor.go
+++ b/internal/daemon/executor.go
@@ -10,7 +10,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/proxy"
 )
 
-// executor hands each effect to the part that carries it out.
+// executor passes each effect to the component that carries it out.
 type executor struct {
 	post  func(core.Event)
 	store *storeCalls
@@ -19,8 +19,8 @@
 	stop  context.CancelFunc
 }
 
-// Execute hands one effect on without waiting for its end. Lines of the log are
-// written by other goroutines: one whose reader stopped reading would stop the core.
+// Execute starts an effect without waiting for its completion. Log lines are written by another
+// goroutine, because a blocked log output would otherwise block the core.
 func (x *executor) Execute(effect core.Effect) {
 	if x.callStore(effect) {
 		return
@@ -37,7 +37,7 @@
 	case core.SendPeer:
 		x.links.Send(e.To, e.Message)
 	case core.ConfigApplied:
-		x.proxy.Log("configuration in force", "generation", e.Generation, "edit", e.Edit)
+		x.proxy.Log("configuration applied", "generation", e.Generation, "edit", e.Edit)
 	case core.ConfigRefused:
 		x.proxy.Log("configuration refused", "generation", e.Generation, "findings", e.Findings.Error())
 	case core.StateChanged:
@@ -54,7 +54,7 @@
 	}
 }
 
-// callStore begins a call on the store, if the effect is one.
+// callStore starts a store call if the effect is one, and reports whether it is.
 func (x *executor) callStore(effect core.Effect) bool {
 	switch e := effect.(type) {
 	case core.StoreGet:
@@ -79,8 +79,9 @@
 	return true
 }
 
-// drained ends the process once the last answer is with its caller. The core
-// knows that answers were read to their end; their last bytes may still be here.
+// drained ends the process once the last response is sent. The core only knows that the
+// responses of the backend servers were read completely; their last bytes may not have been sent
+// yet.
 func (x *executor) drained() {
 	x.proxy.Drain()
 	x.stop()
@@ -89,7 +90,7 @@
 func (x *executor) pollReport(e core.PollReport) {
 	report, err := x.proxy.Report(e.Backend, e.Address)
 	if err != nil {
-		klog.InfoS("no load report", "backend", e.Backend, "error", err)
+		klog.InfoS("failed to get a load report", "backend", e.Backend, "error", err)
 	}
 	x.post(core.BackendReported{Report: report, Failed: err != nil})
 }
--- a/internal/daemon/inspect.go
+++ b/internal/daemon/inspect.go
@@ -14,53 +14,53 @@
 	"github.com/ebonydyke/ebonydyke/internal/metrics"
 )
 
-// scrapeTimeout bounds the wait for the core at a scrape of the metrics.
+// scrapeTimeout bounds the wait for the core during a scrape of the metrics.
 const scrapeTimeout = time.Second
 
-// instance shows the core to the operators' interface.
+// instance gives the operators' interface access to the core.
 type instance struct {
 	loop *Loop
 }
 
 // Status returns the instance's status.
-func (i instance) Status(ctx context.Context) (core.Status, error) {
-	return Inspect(ctx, i.loop, (*core.Node).Status)
+func (v instance) Status(ctx context.Context) (core.Status, error) {
+	return Inspect(ctx, v.loop, (*core.Node).Status)
 }
 
-// Explain explains a placement.
-func (i instance) Explain(ctx context.Context, q core.ExplainQuery) (core.Explanation, error) {
-	return Inspect(ctx, i.loop, func(n *core.Node) core.Explanation { return n.Explain(q) })
+// Explain returns the explanation of a placement.
+func (v instance) Explain(ctx context.Context, q core.ExplainQuery) (core.Explanation, error) {
+	return Inspect(ctx, v.loop, func(n *core.Node) core.Explanation { return n.Explain(q) })
 }
 
-// Ready tells whether new requests are wanted.
-func (i instance) Ready(ctx context.Context) (bool, error) {
-	return Inspect(ctx, i.loop, (*core.Node).Ready)
+// Ready reports whether the instance accepts new requests.
+func (v instance) Ready(ctx context.Context) (bool, error) {
+	return Inspect(ctx, v.loop, (*core.Node).Ready)
 }
 
-// Drain begins the graceful shutdown.
-func (i instance) Drain() { i.loop.Post(core.StopRequested{}) }
+// Drain starts the graceful shutdown.
+func (v instance) Drain() { v.loop.Post(core.StopRequested{}) }
 
-// inFlight reads the number of requests in progress, or NaN if the core does not
-// answer.
-func (i instance) inFlight() float64 {
+// inFlight returns the number of requests in flight, or NaN if the core does not respond within
+// scrapeTimeout.
+func (v instance) inFlight() float64 {
 	ctx, cancel := context.WithTimeout(context.Background(), scrapeTimeout)
 	defer cancel()
-	n, err := Inspect(ctx, i.loop, (*core.Node).InFlight)
+	n, err := Inspect(ctx, v.loop, (*core.Node).InFlight)
 	if err != nil {
 		return math.NaN()
 	}
 	return float64(n)
 }
 
-// serveAdmin serves the operators' interface on l until ctx ends: through the
-// whole graceful shutdown, so that it can be watched.
+// serveAdmin serves the operators' interface on l until ctx is done. That includes the graceful
+// shutdown, so that operators can observe it.
 func serveAdmin(ctx context.Context, l net.Listener, loop *Loop, m *metrics.Metrics) error {
-	i := instance{loop: loop}
-	m.InFlight(i.inFlight)
-	return serveHTTP(ctx, l, admin.NewServer(i, m.Gatherer()))
+	v := instance{loop: loop}
+	m.InFlight(v.inFlight)
+	return serveHTTP(ctx, l, admin.NewServer(v, m.Gatherer()))
 }
 
-// serveReady serves readiness on l, if there is such an address.
+// serveReady serves the readiness check on l. It does nothing if l is nil.
 func serveReady(ctx context.Context, l net.Listener, loop *Loop) error {
 	if l == nil {
 		return nil
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -1,5 +1,5 @@
-// Package daemon runs the core: one goroutine owns its state, takes events from
-// the traffic goroutines and hands its effects to those that carry them out.
+// Package daemon runs the core. One goroutine owns the core's state, receives events from the
+// goroutines that handle traffic, and passes the effects to the components that carry them out.
 package daemon
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/ebonydyke/ebonydyke/internal/metrics"
 )
 
-// eventQueue bounds the events waiting for the core.
+// eventQueue is the capacity of the queue of events for the core.
 const eventQueue = 4096
 
-// Executor carries out effects. It is called by the goroutine that owns the core
-// and must not block.
+// Executor carries out effects. It is called on the goroutine that owns the core and must not
+// block.
 type Executor interface {
 	Execute(effect core.Effect)
 }
 
-// Loop owns a core.
+// Loop is the event loop of a core.
 type Loop struct {
 	node     *core.Node
 	clock    *clock.Clock
@@ -32,7 +32,7 @@
 	done     chan struct{}
 }
 
-// NewLoop returns a loop round node.
+// NewLoop returns an event loop for node.
 func NewLoop(node *core.Node) *Loop {
 	return &Loop{
 		node:     node,
@@ -43,14 +43,15 @@
 	}
 }
 
-// CountIn counts what passes through the loop in m. It is called before Run.
+// CountIn counts events and effects in m. It must be called before Run.
 func (l *Loop) CountIn(m *metrics.Metrics) { l.meter = newMeter(m) }
 
-// Now is the time by which the core decides. What tells it times uses the same.
+// Now returns the time on the core's clock. Components that pass times to the core use the same
+// clock.
 func (l *Loop) Now() time.Time { return l.clock.Now() }
 
-// Post hands an event to the core. It waits while the queue is full, but not on
-// a loop that has ended: a goroutine that posts its last word must be able to end.
+// Post queues an event for the core. It blocks while the queue is full, but not once the loop has
+// ended, so that goroutines that post a final event can return.
 func (l *Loop) Post(event core.Event) {
 	select {
 	case l.events <- event:
@@ -58,7 +59,7 @@
 	}
 }
 
-// Run feeds the core until ctx ends. It may be called once.
+// Run passes events to the core until ctx is done. It may be called only once.
 func (l *Loop) Run(ctx context.Context, exec Executor) error {
 	defer close(l.done)
 	l.exec = exec
@@ -87,9 +88,9 @@
 	}
 }
 
-// Inspect runs f on the goroutine that owns the core and returns its result. It
-// waits until ctx ends at most; f must not change the node. What f returns must
-// hold nothing that the node goes on changing.
+// Inspect runs f on the goroutine that owns the core and returns its result, or an error if ctx is
+// done first. f must not change the node, and its result must not share state that the node
+// changes later.
 func Inspect[T any](ctx context.Context, l *Loop, f func(*core.Node) T) (T, error) {
 	result := make(chan T, 1)
 	var none T
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -15,11 +15,9 @@
 
 func (ignoreEffects) Execute(core.Effect) {}
 
-// TestInspectIsBounded asks a core for its status before its loop runs, as when
-// it is stuck, and after.
-//
-// An operator's question must come back within its bound, and must not be
-// answered later at the expense of somebody else.
+// TestInspectIsBounded requests the status of a core before its loop runs, as if the core
+// were stuck, and afterwards. An operator's request must return by its deadline, and an expired
+// request must not take the core's time later.
 func TestInspectIsBounded(t *testing.T) {
 	loop := daemon.NewLoop(core.New(core.Settings{Name: "entry-1"}))
 	short, cancelShort := context.WithTimeout(context.Background(), time.Millisecond)
--- a/internal/daemon/metered.go
+++ b/internal/daemon/metered.go
@@ -5,7 +5,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/metrics"
 )
 
-// The kinds of calls on the platform, as metric labels.
+// The kinds of calls to the platform, as metric labels.
 const (
 	callGet   = "get"
 	callSwap  = "swap"
@@ -14,12 +14,12 @@
 	callLease = "lease"
 )
 
-// meter counts what passes between the core and the executor, so that neither
-// has to know of metrics. It belongs to the goroutine that owns the core. A nil
-// meter counts nothing.
+// meter updates the metrics from the events and effects that pass between the core and the
+// executor, so that neither depends on the metrics. Only the goroutine that owns the core uses it.
+// A nil meter counts nothing.
 type meter struct {
 	metrics *metrics.Metrics
-	// calls are the calls on the platform that have not ended.
+	// calls holds the kinds of the pending calls to the platform.
 	calls map[core.OpID]string
 }
 
@@ -27,7 +27,7 @@
 	return &meter{metrics: m, calls: make(map[core.OpID]string)}
 }
 
-// effect counts an effect that is about to be carried out.
+// effect counts an effect before it is carried out.
 func (m *meter) effect(effect core.Effect) {
 	if m == nil {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// event counts an event that the core is about to take.
+// event counts an event before the core handles it.
 func (m *meter) event(event core.Event) {
 	if m == nil {
 		return
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,32 +13,32 @@
 	"github.com/ebonydyke/ebonydyke/internal/settings"
 )
 
-// reloadInterval is how often the settings file is compared with what was read: it
-// may change without a signal. Reading a few kilobytes a second costs nothing.
+// reloadInterval is the interval at which the settings file is checked for changes, because it may
+// change without a signal. Reading a few kilobytes per second costs practically nothing.
 const reloadInterval = time.Second
 
-// reloader follows the settings file.
+// reloader watches the settings file and applies changes to it.
 type reloader struct {
 	path   string
 	signal <-chan os.Signal
-	// text is the file as last looked at; nothing at first, so that a change between
-	// the process's own reading of it and the first look is seen.
+	// text holds the file as of the last check. It is empty before the first check, so
+	// that a change between the start of the process and the first check is detected.
 	text []byte
-	// unreadable is set while the file cannot be read, which is logged once.
+	// unreadable is set while the file cannot be read, so that the error is logged only once.
 	unreadable bool
-	// started are the settings that the process started with, now those of the file.
+	// started holds the settings at the start of the process, now those of the last valid file.
 	started, now *settings.Settings
-	// apply takes settings that have changed and had no findings.
+	// apply is called with changed settings that have no findings.
 	apply func(*settings.Settings)
 }
 
-// newReloader returns a reloader of a file that was read as s. Without a path there
-// is nothing to follow.
-func newReloader(path string, signal <-chan os.Signal, s *settings.Settings, apply func(*settings.Settings)) *reloader {
-	return &reloader{path: path, signal: signal, started: s, now: s, apply: apply}
+// newReloader returns a reloader of the file at path, whose settings at the start are s. An empty
+// path disables reloading.
+func newReloader(path string, signal <-chan os.Signal, s *settings.Settings, onChange func(*settings.Settings)) *reloader {
+	return &reloader{path: path, signal: signal, started: s, now: s, apply: onChange}
 }
 
-// run follows the file until ctx ends.
+// run checks the file at each signal and at each reloadInterval until ctx is done.
 func (r *reloader) run(ctx context.Context) error {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -47,7 +47,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-r.signal:
-			klog.InfoS("told to read the settings again")
+			klog.InfoS("settings reload requested")
 			r.reload()
 		case <-ticker.C:
 			r.reload()
@@ -55,62 +55,62 @@
 	}
 }
 
-// reload reads the file if it has changed. One that cannot be read or has findings
-// changes nothing: the instance goes on with what it has.
+// reload applies the file if it has changed. If the file cannot be read or has findings, the
+// current settings stay in use.
 func (r *reloader) reload() {
 	if r.path == "" {
 		return
 	}
-	text, err := os.ReadFile(r.path)
+	content, err := os.ReadFile(r.path)
 	if err != nil {
 		if !r.unreadable {
-			klog.ErrorS(err, "settings not read again, the old ones stay", "file", r.path)
+			klog.ErrorS(err, "failed to read the settings file; keeping the current settings", "file", r.path)
 		}
 		r.unreadable = true
 		return
 	}
 	r.unreadable = false
-	if bytes.Equal(text, r.text) {
+	if bytes.Equal(content, r.text) {
 		return
 	}
-	r.text = text
-	s, err := settings.Parse(r.path, text)
+	r.text = content
+	s, err := settings.Parse(r.path, content)
 	if err != nil {
-		klog.ErrorS(err, "changed settings refused, the old ones stay", "file", r.path)
+		klog.ErrorS(err, "changed settings are invalid; keeping the current settings", "file", r.path)
 		return
 	}
 	r.take(s)
 }
 
-// take applies settings that differ from those in force.
+// take applies settings that differ from the current ones.
 func (r *reloader) take(s *settings.Settings) {
 	if reflect.DeepEqual(r.now, s) {
 		return
 	}
-	taken, waiting := r.changes(s)
-	klog.InfoS("settings reloaded", "taken", taken, "needRestart", waiting)
+	applied, pending := r.changes(s)
+	klog.InfoS("settings reloaded", "applied", applied, "needRestart", pending)
 	r.now = s
 	r.apply(s)
 }
 
-// live are the settings that a running instance takes.
+// live lists the settings that can change without a restart.
 var live = map[string]bool{"bounds": true, "log_verbosity": true, "stop_grace": true}
 
-// changes names the settings of s that differ: from those in force where they are
-// taken now, and from those of the start where they wait for the next one.
-func (r *reloader) changes(s *settings.Settings) (taken, waiting []string) {
-	started, now, next := reflect.ValueOf(*r.started), reflect.ValueOf(*r.now), reflect.ValueOf(*s)
+// changes returns the names of the changed settings in s. Those that take effect now are compared
+// with the current settings, and those that need a restart with the settings at the start.
+func (r *reloader) changes(s *settings.Settings) (applied, pending []string) {
+	started, current, next := reflect.ValueOf(*r.started), reflect.ValueOf(*r.now), reflect.ValueOf(*s)
 	differ := func(old reflect.Value, i int) bool {
 		return !reflect.DeepEqual(old.Field(i).Interface(), next.Field(i).Interface())
 	}
 	for i := range next.NumField() {
 		name, _, _ := strings.Cut(next.Type().Field(i).Tag.Get("json"), ",")
 		switch {
-		case live[name] && differ(now, i):
-			taken = append(taken, name)
+		case live[name] && differ(current, i):
+			applied = append(applied, name)
 		case !live[name] && differ(started, i):
-			waiting = append(waiting, name)
+			pending = append(pending, name)
 		}
 	}
-	return taken, waiting
+	return applied, pending
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -22,7 +22,7 @@
   "stop_grace": "8s",
 }`
 
-// reloaded is a reloader of a file and what it has applied.
+// reloaded is a reloader with the settings that it has applied.
 type reloaded struct {
 	*reloader
 	t       *testing.T
@@ -40,7 +40,7 @@
 	return r
 }
 
-// write changes the file and lets the reloader look at it.
+// write replaces old by text in the original file and reloads it.
 func (r *reloaded) write(old, text string) {
 	r.t.Helper()
 	changed := strings.Replace(reloadText, old, text, 1)
@@ -48,9 +48,9 @@
 	r.reload()
 }
 
-// The platform rewrites the settings of a running instance, with a signal or without
-// one. What it can take while it runs is taken; a file that it cannot read, or that
-// has findings, leaves everything as it is, and the next good one is taken.
+// The platform rewrites the settings file of a running instance, with or without a signal. Settings
+// that can change without a restart must be applied. A file that cannot be read or has findings
+// must change nothing, and the next valid file must be applied.
 func TestChangedSettingsAreTaken(t *testing.T) {
 	r := newReloaded(t)
 	r.reload()
@@ -71,9 +71,9 @@
 	require.Equal(t, config.Duration(9*time.Second), r.applied[1].StopGrace)
 }
 
-// The file is rewritten between the moment when the process read it at its start and
-// the moment when it begins to follow it. That change was never taken: the first look
-// was compared with the changed file, not with what had been read.
+// The settings file is rewritten after the process has read it at its start and before the first
+// check for changes. That change was never applied: the first check compared the file with the
+// changed content and not with the content read at the start.
 func TestAChangeDuringTheStartIsTaken(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	require.NoError(t, os.WriteFile(path, []byte(reloadText), 0o600))
@@ -90,18 +90,18 @@
 	require.Equal(t, config.Duration(20*time.Second), applied[0].StopGrace)
 }
 
-// An address is changed, which waits for the next start, and changed back. An operator
-// was then told that a restart is needed, though the process runs by the file.
+// An address, which can change only with a restart, is changed and changed back. The log then
+// reported that a restart was needed, although the process ran with the settings of the file.
 func TestAChangeTakenBackNeedsNoRestart(t *testing.T) {
 	r := newReloaded(t)
 	started := r.started
 	r.write("7080", "7085")
-	taken, waiting := r.changes(r.now)
-	require.Empty(t, taken)
-	require.Equal(t, []string{"listen"}, waiting)
+	applied, pending := r.changes(r.now)
+	require.Empty(t, applied)
+	require.Equal(t, []string{"listen"}, pending)
 
 	r.write("7080", "7080")
-	_, waiting = r.changes(r.now)
-	require.Empty(t, waiting)
+	_, pending = r.changes(r.now)
+	require.Empty(t, pending)
 	require.Same(t, started, r.started)
 }
--- a/internal/daemon/storecalls.go
+++ b/internal/daemon/storecalls.go
@@ -18,56 +18,57 @@
 	"github.com/ebonydyke/ebonydyke/platform"
 )
 
-// Time limits of calls on the store.
+// Timeouts of store calls.
 const (
-	// callTimeout is far above an answer's usual few milliseconds, and short enough
-	// that a connection on which an answer was lost is given up soon.
+	// callTimeout is far above the usual response time of a few milliseconds, but short enough to
+	// abandon soon a connection on which a response was lost.
 	callTimeout = 2 * time.Second
-	// watchSlack is what a watch may take beyond its wait before its connection is
-	// taken for dead: many times the store's usual answer.
+	// watchSlack is the time that a watch may take beyond the requested wait before its
+	// connection counts as dead. It is many times the store's usual response time.
 	watchSlack = 500 * time.Millisecond
-	// lostWatchRead is the time for the read that follows a watch without an answer.
+	// lostWatchRead is the time reserved for the read that follows a watch without a response.
 	lostWatchRead = 500 * time.Millisecond
-	// leastWatchWait keeps watches from becoming polls.
+	// leastWatchWait is the minimum wait of a watch. A shorter wait would amount to polling.
 	leastWatchWait = 500 * time.Millisecond
 )
 
-// watchWait is how long the store is to hold a watch. A store in trouble may drop a watch
-// without a word: nothing is heard until the watch's time limit, and by then the operators
-// count on what it should have brought. Each watch that ends without a change costs a
-// call, so the wait is no shorter than that asks for.
+// watchWait returns how long the store is asked to hold a watch. A failing store may drop a watch
+// without closing the connection, and the instance notices that only at the watch's timeout. The
+// timeout and the read that follows must fit into settle, the time within which the operators
+// expect every instance to know the changes made during an outage. The wait is no shorter than
+// necessary, because each watch that ends without a change costs a call.
 func watchWait(settle time.Duration) time.Duration {
 	return max(leastWatchWait, settle-watchSlack-lostWatchRead)
 }
 
-// instancePrefix is that of the instances' own entries in the store.
+// instancePrefix is the prefix of the keys of the instances' entries in the store.
 const instancePrefix = "ebonydyke/instances/"
 
-// storeCalls carries out the core's calls on the store, each in a goroutine of its
-// own, and posts their ends.
+// storeCalls executes the store calls that the core requests, each in its own goroutine, and posts
+// their results.
 type storeCalls struct {
 	ctx    context.Context
 	post   func(core.Event)
 	client *platform.Client
-	// instance is the own name.
+	// instance is the name of this instance.
 	instance string
 	// watchWait is how long the store holds a watch.
 	watchWait time.Duration
-	// operators is set where the operators write a configuration of the platform's
-	// own form; it names its key and translates its value.
+	// operators is set if the operators write the configuration in the platform's format. The
+	// configuration is then read from platform.ConfigKey and translated.
 	operators *operatorConfig
-	// watched is where the watch of the configuration goes on. It belongs to the one
-	// call on that key that is under way.
+	// watched is the position of the configuration watch: the version that is known and the store
+	// revision from which to continue. Only the one pending call on the key uses it.
 	watched struct {
 		version, revision uint64
 	}
 }
 
-// operatorConfig is the configuration that the platform's operators write.
+// operatorConfig translates the configuration that the operators write in the platform's format.
 type operatorConfig struct {
 	bounds atomic.Pointer[platform.Bounds]
-	// edits counts the changes of the bounds: a configuration that is translated anew
-	// under its old generation takes the place of the former translation.
+	// edits counts the changes of the bounds. It is part of the configuration's edit ID, so that a
+	// new translation of the same generation replaces the previous one.
 	edits atomic.Uint64
 }
 
@@ -89,7 +90,7 @@
 	}
 }
 
-// setBounds takes changed bounds and translates the configuration by them.
+// setBounds sets the bounds and, if they have changed, translates the configuration again.
 func (s *storeCalls) setBounds(b settings.Bounds) {
 	if s.operators == nil || *s.operators.bounds.Load() == *boundsOf(b) {
 		return
@@ -104,19 +105,19 @@
 	defer cancel()
 	value, _, err := s.client.Get(ctx, platform.ConfigKey)
 	if err != nil {
-		klog.InfoS("changed bounds wait for the next configuration", "error", err)
+		klog.InfoS("failed to read the configuration; changed bounds apply from the next configuration", "error", err)
 		return
 	}
 	offer, err := s.operators.decode(value)
 	if err != nil {
-		klog.ErrorS(err, "configuration not understood", "key", platform.ConfigKey)
+		klog.ErrorS(err, "failed to decode the configuration", "key", platform.ConfigKey)
 		return
 	}
 	s.post(core.ConfigOffered(offer))
 }
 
-// decode translates the operators' configuration. It is passed on as they wrote it, and
-// each instance translates it by its own bounds.
+// decode translates the operators' configuration. The envelope holds the original, because each
+// instance translates it with its own bounds.
 func (o *operatorConfig) decode(value []byte) (core.ConfigOffer, error) {
 	text, version, err := platform.DecodeConfig(value, *o.bounds.Load())
 	if err != nil {
@@ -130,8 +131,9 @@
 	}, nil
 }
 
-// readOffers lets the configurations that peers pass on be translated by the goroutines
-// that receive them, so that the core does not stand still for it.
+// readOffers returns a function that translates the configurations offered by peers before it
+// passes the events to post. The goroutines that receive the offers translate them, so that the
+// core is not blocked meanwhile.
 func (s *storeCalls) readOffers(post func(core.Event)) func(core.Event) {
 	if s.operators == nil {
 		return post
@@ -144,7 +146,7 @@
 		}
 		offer, err := s.operators.decode([]byte(received.Message.ConfigOffer.Envelope.Text))
 		if err != nil {
-			klog.ErrorS(err, "configuration not understood", "peer", received.From)
+			klog.ErrorS(err, "failed to decode the configuration", "peer", received.From)
 			return
 		}
 		received.Message.ConfigOffer = &offer
@@ -162,7 +164,7 @@
 	s.replied(e.Op, e.Key, item, err)
 }
 
-// replied posts the end of a read.
+// replied posts the result of a read.
 func (s *storeCalls) replied(op core.OpID, key string, item store.Item, err error) {
 	reply := core.StoreReplied{Op: op, Version: item.Revision, Value: item.Value}
 	if err == nil && key == core.ConfigKey && s.operators != nil {
@@ -170,7 +172,7 @@
 		reply.Config, err = s.translate(item.Value)
 	}
 	if err != nil && !errors.Is(err, store.ErrAbsent) {
-		klog.V(1).InfoS("store not read", "key", key, "error", err)
+		klog.V(1).InfoS("failed to read from the store", "key", key, "error", err)
 	}
 	reply.Status = storeStatus(err)
 	s.post(reply)
@@ -183,11 +185,11 @@
 	return key
 }
 
-// translate gives the operators' configuration as an offer.
+// translate returns the operators' configuration as an offer.
 func (s *storeCalls) translate(value []byte) (*core.ConfigOffer, error) {
 	offer, err := s.operators.decode(value)
 	if err != nil {
-		klog.ErrorS(err, "configuration not understood", "key", platform.ConfigKey)
+		klog.ErrorS(err, "failed to decode the configuration", "key", platform.ConfigKey)
 		return nil, err
 	}
 	return &offer, nil
@@ -200,7 +202,7 @@
 	s.post(core.StoreReplied{Op: e.Op, Status: storeStatus(err), Version: version})
 }
 
-// watch waits until a key's version differs from the one that is known.
+// watch waits until the version of a key differs from the known one.
 func (s *storeCalls) watch(e core.StoreWatch) {
 	after := e.Version
 	if s.watched.version == e.Version {
@@ -223,8 +225,8 @@
 		return
 	}
 	if page.Revision < after {
-		// The store went back: it was restored from a copy, or came back empty. A watch
-		// would wait for a revision that lies far ahead.
+		// The store's revision has decreased: it was restored from a backup or restarted empty.
+		// A watch would wait for a revision that is far ahead.
 		s.get(core.StoreGet{Op: e.Op, Key: e.Key})
 		return
 	}
@@ -242,7 +244,7 @@
 	}
 }
 
-// newestOf returns the last of a key's changes.
+// newestOf returns the latest change of a key.
 func newestOf(changes []store.Item, key string) (newest store.Item, found bool) {
 	for _, c := range changes {
 		if c.Key == key && c.Revision >= newest.Revision {
@@ -269,7 +271,7 @@
 func (s *storeCalls) backendsRead(op core.OpID, page store.Page, err error) {
 	out := core.BackendsRead{Op: op, Status: storeStatus(err), Revision: page.Revision}
 	if err != nil {
-		klog.V(1).InfoS("backend servers' entries not read", "error", err)
+		klog.V(1).InfoS("failed to read the entries of the backend servers", "error", err)
 	}
 	for _, i := range page.Items {
 		out.Entries = append(out.Entries, backendEntry(i))
@@ -288,7 +290,7 @@
 	}
 	backend, err := platform.DecodeBackend(i)
 	if err != nil {
-		klog.InfoS("entry names no backend server", "error", err, "revision", i.Revision)
+		klog.InfoS("invalid entry of a backend server", "error", err, "revision", i.Revision)
 		entry.Unreadable = true
 		return entry
 	}
@@ -301,15 +303,15 @@
 	defer cancel()
 	listed, err := s.instances(ctx)
 	if err != nil {
-		klog.V(1).InfoS("instances' entries not read", "error", err)
+		klog.V(1).InfoS("failed to read the entries of the instances", "error", err)
 		listed = core.InstancesListed{Failed: true}
 	}
 	listed.Op = e.Op
 	s.post(listed)
 }
 
-// instances reads every instance's entry. Stale reads do: who has come or gone a
-// moment ago is told by the instances themselves, and they cost a tenth.
+// instances reads the entries of all instances. Stale reads suffice, because the instances
+// report recent arrivals and departures themselves, and they cost a tenth of a consistent read.
 func (s *storeCalls) instances(ctx context.Context) (listed core.InstancesListed, err error) {
 	for after := ""; ; {
 		page, err := s.client.Range(ctx, instancePrefix, after, true)
@@ -319,7 +321,7 @@
 		for _, i := range page.Items {
 			var in membership.Member
 			if err := json.Unmarshal(i.Value, &in); err != nil || in.Role != membership.RoleInstance {
-				klog.InfoS("entry names no instance", "key", i.Key, "error", err)
+				klog.InfoS("invalid entry of an instance", "key", i.Key, "error", err)
 				continue
 			}
 			listed.Members = append(listed.Members, in)
@@ -339,7 +341,7 @@
 	defer cancel()
 	lease, err := s.holdEntry(ctx, e)
 	if err != nil {
-		klog.InfoS("not registered in the store", "error", err)
+		klog.InfoS("failed to register in the store", "error", err)
 	}
 	s.post(core.LeaseReplied{Op: e.Op, Status: storeStatus(err), Lease: lease})
 }
@@ -347,7 +349,7 @@
 func (s *storeCalls) holdEntry(ctx context.Context, e core.Register) (lease uint64, err error) {
 	value, err := json.Marshal(e.Instance)
 	if err != nil {
-		return e.Lease, fmt.Errorf("daemon: encode the own entry: %w", err)
+		return e.Lease, fmt.Errorf("daemon: encode the entry of this instance: %w", err)
 	}
 	lease = e.Lease
 	if lease == 0 {
@@ -365,12 +367,12 @@
 	defer cancel()
 	err := s.client.Keep(ctx, e.Lease)
 	if err != nil {
-		klog.InfoS("lease not renewed", "lease", e.Lease, "error", err)
+		klog.InfoS("failed to renew the lease", "lease", e.Lease, "error", err)
 	}
 	s.post(core.LeaseReplied{Op: e.Op, Status: storeStatus(err), Lease: e.Lease})
 }
 
-// storeStatus maps an error of the store to what the core may conclude.
+// storeStatus maps an error of a store call to the status that the core receives.
 func storeStatus(err error) core.StoreStatus {
 	switch {
 	case err == nil:
--- a/internal/daemon/storecalls_test.go
+++ b/internal/daemon/storecalls_test.go
@@ -14,10 +14,10 @@
 	"github.com/ebonydyke/ebonydyke/internal/settings"
 )
 
-// The store drops its history, and with it every watch that waits, without a word on their
-// connections; right then the operators write a configuration. All instances that follow
-// the store waited for their watches' time limit and refused callers with keys of that
-// configuration, for longer than the operators allow after such a trouble.
+// The store loses its history and drops all pending watches without closing their connections, and
+// at the same time the operators write a configuration. All instances that watch the store waited
+// for the timeouts of their watches and meanwhile refused API keys of the new configuration, for
+// longer than the operators allow after such an outage.
 func TestALostWatchIsNoticedBeforeItsNewsIsOwed(t *testing.T) {
 	held := make(chan time.Duration, 2)
 	release := make(chan struct{})
@@ -36,11 +36,11 @@
 	s := settings.Default()
 	s.Platform, s.PlatformSettle = server.URL, config.Duration(settle)
 	calls := newStoreCalls(t.Context(), func(e core.Event) { events <- e }, &s)
-	began := time.Now()
+	started := time.Now()
 	go calls.watch(core.StoreWatch{Op: 1, Key: core.ConfigKey, Version: 3})
 	go calls.watchBackends(core.WatchBackends{Op: 2, After: 3})
 	for range 2 {
-		require.Greater(t, <-held, 500*time.Millisecond, "a watch is no poll")
+		require.Greater(t, <-held, 500*time.Millisecond, "a watch must not become a poll")
 		switch e := (<-events).(type) {
 		case core.StoreReplied:
 			require.Equal(t, core.StoreUnknown, e.Status)
@@ -48,5 +48,5 @@
 			require.Equal(t, core.StoreUnknown, e.Status)
 		}
 	}
-	require.Less(t, time.Since(began), settle-300*time.Millisecond, "a read must follow in time")
+	require.Less(t, time.Since(started), settle-300*time.Millisecond, "time must remain for a read")
 }
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,9 +1,8 @@
-// Package dial makes connections that notice when their way is cut.
+// Package dial opens TCP connections that detect a broken network path.
 //
-// A cut drops packets without a word to either end, and a read that waits on such a
-// connection waits for ever. Only the kernel can ask the other end's kernel, without a
-// word to its program, so a wait for an answer that may rightly take long need not be
-// cut short to find the connections that are dead.
+// A network failure may drop packets without an error at either end, and a pending read on such a
+// connection blocks forever. TCP keep-alive detects it, because the kernels exchange the probes
+// without the applications. Responses that legitimately take long therefore need no short timeout.
 package dial
 
 import (
@@ -14,35 +13,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes is how many keep-alive probes in a row go unanswered on a connection that is
-// cut. With two, a single lost packet ends none.
+// probes is the number of consecutive unanswered keep-alive probes after which a
+// connection is closed. With two, a single lost packet does not close a connection.
 const probes = 2
 
-// Dialer returns a dialer that gives up after connect, and whose connections end when
-// nothing has come back for about silence: neither an acknowledgement of what was sent
-// nor, while nothing is, of the probes.
-func Dialer(connect, silence time.Duration) *net.Dialer {
+// Dialer returns a dialer with the given timeout for the connection setup. Its connections fail if
+// neither sent data nor, on an idle connection, keep-alive probes are acknowledged for about
+// ackTimeout.
+func Dialer(connectTimeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: connect,
+		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     silence / (probes + 1),
-			Interval: silence / (probes + 1),
+			Idle:     ackTimeout / (probes + 1),
+			Interval: ackTimeout / (probes + 1),
 			Count:    probes,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return limitUnacknowledged(raw, silence) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return limitUnacknowledged(raw, ackTimeout) },
 	}
 }
 
-// limitUnacknowledged ends a connection on which sent bytes are not acknowledged in time.
-// Keep-alive probes are not sent while such bytes are under way.
+// limitUnacknowledged sets the time after which a connection fails if sent data is not
+// acknowledged. The kernel sends no keep-alive probes while data is unacknowledged.
 func limitUnacknowledged(raw syscall.RawConn, limit time.Duration) error {
-	var failed error
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -11,10 +11,9 @@
 	"github.com/ebonydyke/ebonydyke/internal/dial"
 )
 
-// The way to the store is cut while an instance waits for a change there, and no packet
-// tells it so. What ends the wait are the kernel's own probes, and its limit on bytes
-// that nobody acknowledges; a test without privileges cannot drop packets, so it reads
-// the limits back.
+// The network path to the store breaks while a watch is pending, and no packet reports it. The
+// keep-alive probes and the limit on unacknowledged data must end the watch. A test without
+// privileges cannot drop packets, so it checks the socket options.
 func TestConnectionsNoticeACut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -24,7 +24,8 @@
 
 var start = time.UnixMilli(1_764_000_000_000).UTC()
 
-// carry sends a message through a stream's encoder and decoder.
+// carry encodes and decodes a message. It returns the decoded message and the size of the
+// frame.
 func carry(t require.TestingT, e *Encoder, d *Decoder, m core.PeerMessage) (core.PeerMessage, int) {
 	frame, err := e.Encode(m)
 	require.NoError(t, err)
@@ -35,8 +36,8 @@
 	return got, len(frame)
 }
 
-// TestMessagesSurviveTheLink sends random messages through one stream, whose
-// coding depends on those before, and compares each with what comes out.
+// TestMessagesSurviveTheLink passes random messages through one encoder and decoder, whose state
+// depends on the messages before, and compares each with the decoded one.
 func TestMessagesSurviveTheLink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, d := NewEncoder(), NewDecoder()
@@ -103,9 +104,9 @@
 	return d
 }
 
-// TestEveryFieldSurvivesTheLink sets every field of every message: one that was
-// added to the core and forgotten here would arrive empty, such as the end of a
-// claim, after which its key is free.
+// TestEveryFieldSurvivesTheLink sets every field of every message. A field that is added in the
+// core but not to the codec would arrive empty, such as the time at which a claim expires and its
+// key is free.
 func TestEveryFieldSurvivesTheLink(t *testing.T) {
 	for _, m := range []core.PeerMessage{
 		{Digest: &core.Digest{}}, {ConfigOffer: &core.ConfigOffer{}}, {ConfigWanted: &core.ConfigWanted{}},
@@ -120,14 +121,14 @@
 		}
 		got, _ := carry(t, NewEncoder(), NewDecoder(), m)
 		if m.Digest != nil {
-			// The link's hello says it once for all its digests.
+			// The incarnation is sent once in the hello and not in each digest.
 			got.Digest.Incarnation = m.Digest.Incarnation
 		}
 		require.Equal(t, m, got)
 	}
 }
 
-// fill sets a value to something else than zero that its type allows.
+// fill sets a value to a valid value of its type other than zero.
 func fill(t *testing.T, v reflect.Value) {
 	switch v.Interface().(type) {
 	case time.Time:
@@ -137,7 +138,7 @@
 		v.SetString(string(membership.Leaving))
 		return
 	case *config.Text:
-		// It is read from the envelope anew by whoever receives that.
+		// The receiver parses it again from the envelope.
 		return
 	case time.Duration:
 		v.Set(reflect.ValueOf(1500 * time.Millisecond))
@@ -169,12 +170,12 @@
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		v.SetUint(2)
 	default:
-		t.Fatalf("a field of kind %s is new here", v.Kind())
+		t.Fatalf("unsupported field of kind %s", v.Kind())
 	}
 }
 
-// TestRepeatedDigestIsSmall states the figure that the budget rests on: once the
-// dictionary is known, a digest costs about two bytes a load.
+// TestRepeatedDigestIsSmall checks the size on which the budget for control traffic is based: once
+// the names are in the dictionary, a digest takes about two bytes per load.
 func TestRepeatedDigestIsSmall(t *testing.T) {
 	e, d := NewEncoder(), NewDecoder()
 	digest := func(seq int) core.PeerMessage {
@@ -190,8 +191,8 @@
 	require.Equal(t, 32, second)
 }
 
-// TestDictionaryStaysBounded replaces instances for years on one link: the names
-// of those gone must not pile up at either end.
+// TestDictionaryStaysBounded sends ever new instance names over one stream, as replacements of
+// instances do over years. Names of instances that are gone must not accumulate at either end.
 func TestDictionaryStaysBounded(t *testing.T) {
 	e, d := NewEncoder(), NewDecoder()
 	for i := range 3 * maxNames {
@@ -209,8 +210,8 @@
 	require.ErrorIs(t, err, errTooLarge)
 }
 
-// FuzzDecode feeds a port's bytes to the frame reader and the decoder: they must
-// come to an error or a message, never to a panic or to unbounded memory.
+// FuzzDecode passes arbitrary bytes to the frame reader and the decoder. They must return an error
+// or a message, without a panic and without unbounded memory use.
 func FuzzDecode(f *testing.F) {
 	e := NewEncoder()
 	digest := &core.Digest{Seq: 1, At: start, Full: true, Loads: []load.Count{{Backend: "a", InFlight: 2}},
@@ -242,8 +243,8 @@
 	})
 }
 
-// TestCoreEstimatesTheWire compares the sizes by which the core keeps its budget
-// with those on the connection: sheds that rest on a wrong size are no budget.
+// TestCoreEstimatesTheWire compares the core's estimates of message sizes with the sizes on
+// the connection. With wrong estimates the core would not keep its budget for control traffic.
 func TestCoreEstimatesTheWire(t *testing.T) {
 	e := NewEncoder()
 	r := rand.New(rand.NewPCG(1, 2))
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -19,18 +19,18 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// errFrame means that the bytes are not a frame that an instance would send.
+// errFrame means that the received bytes are not a valid frame.
 var errFrame = errors.New("peer: bad frame")
 
-// frameReader is what frames are read from.
+// frameReader is the source of frames.
 type frameReader interface {
 	io.Reader
 	io.ByteReader
 }
 
-// readFrame reads one frame without its length. A stranger may announce a long
-// frame and send nothing: memory grows with the bytes that came, not with the
-// length announced.
+// readFrame reads one frame and removes its length prefix. Memory grows with the bytes received
+// and not with the announced length, because an unidentified sender may announce a long frame and
+// send nothing.
 func readFrame(r frameReader, limit uint64) ([]byte, error) {
 	size, err := binary.ReadUvarint(r)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return buf.Bytes(), nil
 }
 
-// Decoder reads the frames that an Encoder wrote, in the same order.
+// Decoder decodes the frames of an Encoder in the order in which they were encoded.
 type Decoder struct {
 	names []string
 	last  digestBase
@@ -55,8 +55,8 @@
 // NewDecoder returns the decoder of a new stream.
 func NewDecoder() *Decoder { return &Decoder{names: []string{""}} }
 
-// Decode reads a frame without its length. After an error the stream is of no
-// more use.
+// Decode decodes a frame without its length prefix. After an error the stream can't be decoded
+// any further.
 func (d *Decoder) Decode(frame []byte) (core.PeerMessage, error) {
 	var f peerpb.Frame
 	if err := proto.Unmarshal(frame, &f); err != nil {
@@ -68,14 +68,14 @@
 	return d.message(&f)
 }
 
-// decodeHello reads the frame that opens a stream.
+// decodeHello decodes the first frame of a connection.
 func decodeHello(frame []byte) (*peerpb.Hello, error) {
 	var f peerpb.Frame
 	if err := proto.Unmarshal(frame, &f); err != nil {
 		return nil, fmt.Errorf("%w: %w", errFrame, err)
 	}
 	if f.Hello == nil || f.Hello.Name == "" || len(f.Hello.Name) > maxName {
-		return nil, fmt.Errorf("%w: no hello", errFrame)
+		return nil, fmt.Errorf("%w: missing hello", errFrame)
 	}
 	if f.Hello.Version != protocolVersion {
 		return nil, fmt.Errorf("%w: version %d, expected %d", errFrame, f.Hello.Version, protocolVersion)
@@ -201,7 +201,7 @@
 	id := uint32(0)
 	for i := 0; i < len(in); i += 2 {
 		if in[i] == 0 {
-			return nil, fmt.Errorf("%w: load named twice", errFrame)
+			return nil, fmt.Errorf("%w: duplicate load", errFrame)
 		}
 		id += in[i]
 		name, err := d.name(id)
@@ -305,14 +305,14 @@
 
 func (d *Decoder) entries(in []*peerpb.Entry) ([]core.BackendEntry, error) {
 	var out []core.BackendEntry
-	for _, from := range in {
-		name, err := d.name(from.Name)
+	for _, e := range in {
+		name, err := d.name(e.Name)
 		if err != nil {
 			return nil, err
 		}
-		entry := core.BackendEntry{Name: name, Revision: from.Revision, Unreadable: from.Unreadable}
-		if from.Backend != nil {
-			backend, err := d.member(from.Backend)
+		entry := core.BackendEntry{Name: name, Revision: e.Revision, Unreadable: e.Unreadable}
+		if e.Backend != nil {
+			backend, err := d.member(e.Backend)
 			if err != nil {
 				return nil, err
 			}
@@ -333,13 +333,13 @@
 
 func inflateOffer(in *peerpb.ConfigOffer) (*core.ConfigOffer, error) {
 	r := flate.NewReader(bytes.NewReader(in.Deflated))
-	// A small frame may inflate to any size: stop just past the limit.
+	// A small frame may inflate to any size, so reading stops one byte past the limit.
 	text, err := io.ReadAll(io.LimitReader(r, maxText+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: inflate: %w", errFrame, err)
 	}
 	if len(text) > maxText {
-		return nil, fmt.Errorf("%w: text over %d bytes", errFrame, maxText)
+		return nil, fmt.Errorf("%w: configuration over %d bytes", errFrame, maxText)
 	}
 	env := config.Envelope{Generation: in.Generation, Edit: in.Edit, Text: string(text)}
 	return &core.ConfigOffer{Envelope: env}, nil
@@ -357,7 +357,7 @@
 	set, first := claims.State(in.Set), claims.State(in.First)
 	verdict, ok := verdicts[in.Verdict]
 	if uint32(set) != in.Set || uint32(first) != in.First || !ok {
-		return nil, fmt.Errorf("%w: claim reply", errFrame)
+		return nil, fmt.Errorf("%w: unknown value in claim reply", errFrame)
 	}
 	return &claims.Reply{
 		Key: claims.KeyHash{Hi: in.Hi, Lo: in.Lo}, Token: in.Token, Set: set, Verdict: verdict, First: first,
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -20,24 +20,26 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// Limits of what a link carries; both ends keep them.
+// Limits of a link. Both ends enforce them.
 const (
-	// maxFrame bounds a frame in bytes: a text of a megabyte that does not deflate.
+	// maxFrame bounds a frame in bytes. It has room for an incompressible configuration of one
+	// megabyte.
 	maxFrame = 1<<20 + 1<<16
-	// maxNames bounds the names in a link's dictionary.
+	// maxNames bounds the number of names in the dictionary of a stream.
 	maxNames = 8192
 	// maxName bounds one name in bytes.
 	maxName = 256
-	// maxText bounds the operators' text in bytes, the platform's limit of a value.
+	// maxText bounds the operators' configuration in bytes. It is the platform's limit for a
+	// value.
 	maxText = 1 << 20
 )
 
-// errTooLarge means that a message does not fit the limits of a link.
+// errTooLarge means that a message exceeds the limits of a link.
 var errTooLarge = errors.New("peer: message too large")
 
-// Encoder writes the frames of one direction of one stream. It keeps the
-// stream's dictionary of names and the last digest's numbers, so the frames must
-// be sent in the order in which they were encoded, and none left out.
+// Encoder encodes the frames of one direction of one stream. It keeps the dictionary of names and
+// the numbers of the last digest, against which the next one is delta encoded. All frames must
+// therefore be sent, in the order in which they were encoded.
 type Encoder struct {
 	// texts is shared by the encoders of all links.
 	texts *deflatedText
@@ -47,7 +49,7 @@
 	buf   []byte
 }
 
-// digestBase is what a digest's numbers are coded relative to.
+// digestBase holds the numbers of the previous digest, the base of the delta encoding.
 type digestBase struct {
 	seq        uint64
 	at         int64
@@ -57,12 +59,12 @@
 // NewEncoder returns the encoder of a new stream.
 func NewEncoder() *Encoder { return newEncoder(new(deflatedText)) }
 
-func newEncoder(texts *deflatedText) *Encoder {
-	return &Encoder{texts: texts, ids: make(map[string]uint32)}
+func newEncoder(cache *deflatedText) *Encoder {
+	return &Encoder{texts: cache, ids: make(map[string]uint32)}
 }
 
-// Encode gives the frame of a message, its length in front. The slice is valid
-// until the next call.
+// Encode returns the frame of a message with its length prefix. The slice is valid until the next
+// call.
 func (e *Encoder) Encode(m core.PeerMessage) ([]byte, error) {
 	e.frame = peerpb.Frame{}
 	if len(e.ids) > maxNames/2 {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// hello encodes the frame that opens a stream.
+// hello encodes the first frame of a connection.
 func (e *Encoder) hello(h *peerpb.Hello) ([]byte, error) {
 	e.frame = peerpb.Frame{Hello: h}
 	return e.marshal()
@@ -123,7 +125,7 @@
 	return buf, nil
 }
 
-// id gives the dictionary's number of a name; a new name goes with the frame.
+// id returns the dictionary index of a name. A new name is added to the frame.
 func (e *Encoder) id(name string) uint32 {
 	if name == "" {
 		return 0
@@ -159,8 +161,8 @@
 			Name: e.id(f.Name), Incarnation: f.Incarnation, State: stateCodes[f.State],
 		})
 	}
-	for _, in := range d.Members {
-		out.Members = append(out.Members, e.member(in))
+	for _, m := range d.Members {
+		out.Members = append(out.Members, e.member(m))
 	}
 	out.EntriesUpTo = d.EntriesUpTo
 	for _, a := range d.Answers {
@@ -207,8 +209,8 @@
 	return uint32(flags)
 }
 
-// loads codes the loads in the order of their ids, each id as the distance from
-// the one before: two bytes a load in most cases.
+// loads encodes the loads in the order of their ids, each id as the difference from the previous
+// one. A load takes two bytes in most cases.
 func (e *Encoder) loads(loads []load.Count) []uint32 {
 	if len(loads) == 0 {
 		return nil
@@ -238,23 +240,23 @@
 	}
 }
 
-func (e *Encoder) member(in membership.Member) *peerpb.Member {
+func (e *Encoder) member(m membership.Member) *peerpb.Member {
 	return &peerpb.Member{
-		Name:        e.id(in.Name),
-		Entry:       in.Role == membership.RoleInstance,
-		Service:     e.id(in.Service),
-		Zone:        e.id(in.Zone),
-		Address:     in.Address,
-		Slots:       uint32(min(max(0, in.Slots), math.MaxInt32)),
-		Incarnation: in.Incarnation,
-		State:       stateCodes[in.State],
+		Name:        e.id(m.Name),
+		Entry:       m.Role == membership.RoleInstance,
+		Service:     e.id(m.Service),
+		Zone:        e.id(m.Zone),
+		Address:     m.Address,
+		Slots:       uint32(min(max(0, m.Slots), math.MaxInt32)),
+		Incarnation: m.Incarnation,
+		State:       stateCodes[m.State],
 	}
 }
 
-func (e *Encoder) entry(from core.BackendEntry) *peerpb.Entry {
-	out := &peerpb.Entry{Name: e.id(from.Name), Revision: from.Revision, Unreadable: from.Unreadable}
-	if from.Backend != nil {
-		out.Backend = e.member(*from.Backend)
+func (e *Encoder) entry(entry core.BackendEntry) *peerpb.Entry {
+	out := &peerpb.Entry{Name: e.id(entry.Name), Revision: entry.Revision, Unreadable: entry.Unreadable}
+	if entry.Backend != nil {
+		out.Backend = e.member(*entry.Backend)
 	}
 	return out
 }
@@ -271,20 +273,20 @@
 	return &peerpb.ConfigOffer{Generation: env.Generation, Edit: env.Edit, Deflated: deflated}, nil
 }
 
-// deflatedText is the last text that was passed on, deflated once for all peers that ask
-// for it: a customers' list repeats itself, and each of a thousand changes a day goes to
-// every instance.
+// deflatedText caches the compressed form of the last configuration sent, so that it is compressed
+// once for all peers. A list of customers is repetitive, and each of a thousand changes a day goes
+// to every instance.
 type deflatedText struct {
 	mu       sync.Mutex
 	text     string
 	deflated []byte
 }
 
-func (t *deflatedText) of(text string) ([]byte, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.deflated != nil && t.text == text {
-		return t.deflated, nil
+func (c *deflatedText) of(text string) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.deflated != nil && c.text == text {
+		return c.deflated, nil
 	}
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.DefaultCompression)
@@ -297,8 +299,8 @@
 	if err := w.Close(); err != nil {
 		return nil, fmt.Errorf("peer: deflate: %w", err)
 	}
-	t.text, t.deflated = text, buf.Bytes()
-	return t.deflated, nil
+	c.text, c.deflated = text, buf.Bytes()
+	return c.deflated, nil
 }
 
 func claimReply(r *claims.Reply) *peerpb.ClaimReply {
--- a/internal/peer/ending.go
+++ b/internal/peer/ending.go
@@ -8,17 +8,16 @@
 	"github.com/hashicorp/yamux"
 )
 
-// endingConn is a link's connection that ends the waits on the link's streams before it
-// is closed.
+// endingConn is the connection of a link. Close expires the deadlines of the link's streams before
+// it closes the connection.
 //
-// A stream of yamux that waits for bytes while its session is shut down neither blocks
-// nor returns: until the session has closed the stream it goes round a loop that gives no
-// other goroutine a turn. Where one processor runs them all, the goroutine that would
-// close the stream does not get it back from its close of the connection. One end of a
-// link, as at each restart of a peer, then stopped a whole instance for 15 s, the time
-// limit on a silent link: no answer, no log line, and a revoked key was accepted after it.
-// A deadline that has passed ends the loop, and yamux closes the connection, here, before
-// it gives up its turn.
+// This works around a busy loop in yamux. A Read on a stream whose session is shutting down neither
+// blocks nor returns: it spins without yielding until the session has closed the stream. With a
+// single processor, the goroutine that closes the session gives up the processor when it closes the
+// connection and does not get it back to close the stream. The end of one link, as at each restart
+// of a peer, then stalled a whole instance for 15 s, the idle limit of a link: it sent no responses
+// and wrote no logs, and it accepted a revoked key afterwards. An expired deadline ends the loop,
+// and yamux calls this Close before it yields.
 type endingConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -26,7 +25,7 @@
 	ended   bool
 }
 
-// Close ends the waits on the streams and closes the connection.
+// Close aborts pending reads and writes on the streams and closes the connection.
 func (c *endingConn) Close() error {
 	c.mu.Lock()
 	c.ended = true
@@ -37,7 +36,7 @@
 	return c.Conn.Close()
 }
 
-// add takes a stream whose waits end with the connection.
+// add registers a stream whose pending reads and writes Close aborts.
 func (c *endingConn) add(stream *yamux.Stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,27 +46,27 @@
 	}
 }
 
-// expire ends what waits on a stream, and what will. A stream's deadlines can always be
-// set; the errors are those of an interface.
+// expire aborts all present and future reads and writes on a stream. Setting the deadline
+// of a yamux stream never fails; it returns an error only to implement net.Conn.
 func expire(stream *yamux.Stream) { _ = stream.SetDeadline(time.Unix(1, 0)) }
 
-// readWithin bounds the wait for the next bytes of a stream.
-func (c *endingConn) readWithin(stream *yamux.Stream, limit time.Duration) error {
-	return c.within(stream.SetReadDeadline, limit)
+// readWithin sets the timeout of the next read from a stream.
+func (c *endingConn) readWithin(stream *yamux.Stream, timeout time.Duration) error {
+	return c.within(stream.SetReadDeadline, timeout)
 }
 
-// writeWithin bounds the next write to a stream.
-func (c *endingConn) writeWithin(stream *yamux.Stream, limit time.Duration) error {
-	return c.within(stream.SetWriteDeadline, limit)
+// writeWithin sets the timeout of the next write to a stream.
+func (c *endingConn) writeWithin(stream *yamux.Stream, timeout time.Duration) error {
+	return c.within(stream.SetWriteDeadline, timeout)
 }
 
-// within sets a deadline unless the connection has ended: a later one would take the
-// place of the one that has passed.
-func (c *endingConn) within(set func(time.Time) error, limit time.Duration) error {
+// within sets a deadline unless the connection is closed. After Close, a new deadline would
+// replace the expired one.
+func (c *endingConn) within(set func(time.Time) error, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
 		return net.ErrClosed
 	}
-	return set(time.Now().Add(limit))
+	return set(time.Now().Add(timeout))
 }
--- a/internal/peer/ending_test.go
+++ b/internal/peer/ending_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowClose is a connection whose close takes a while, as a system call may.
+// slowClose is a connection whose Close takes some time, like a system call.
 type slowClose struct {
 	net.Conn
 	takes time.Duration
@@ -21,20 +21,20 @@
 	return c.Conn.Close()
 }
 
-// An instance restarts, and a second later one of its peers answers nothing, logs nothing
-// and takes nothing for 15 s, at full processor time; then it acts on what it knew before.
-// The link to the restarted one had ended: its session was shut down while its streams
-// were not closed yet, and whoever read one went round a loop. A reader must be gone
-// before the close of the connection begins.
+// After a restart of an instance, one of its peers stalled for 15 s: it sent no responses, wrote no
+// logs, accepted nothing and used a whole processor, and then acted on outdated state. The session
+// of the link to the restarted instance was shut down while its streams were still open, and a
+// goroutine that read from one of them spun in yamux. The readers must return before the close of
+// the connection begins.
 func TestTheEndOfALinkTakesNoProcessorTime(t *testing.T) {
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	other, err := openSession(far, false)
+	local, remote := net.Pipe()
+	t.Cleanup(func() { _ = remote.Close() })
+	remoteSession, err := openSession(remote, false)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = other.Close() })
+	t.Cleanup(func() { _ = remoteSession.Close() })
 
-	const closing = 400 * time.Millisecond
-	conn := &endingConn{Conn: slowClose{Conn: near, takes: closing}}
+	const closeDelay = 400 * time.Millisecond
+	conn := &endingConn{Conn: slowClose{Conn: local, takes: closeDelay}}
 	session, err := openSession(conn, true)
 	require.NoError(t, err)
 	ended := make(chan error, 2)
@@ -48,7 +48,7 @@
 
 	before := processorTime(t)
 	require.NoError(t, session.Close())
-	require.Less(t, processorTime(t)-before, closing/4)
+	require.Less(t, processorTime(t)-before, closeDelay/4)
 	require.Error(t, <-ended)
 	require.Error(t, <-ended)
 }
@@ -63,7 +63,7 @@
 	return err
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used.
 func processorTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -18,24 +18,25 @@
 
 // Bounds of one link.
 const (
-	// maxHello bounds the first frame of a connection in bytes.
+	// maxHello bounds the hello, the first frame of a connection, in bytes.
 	maxHello = 1 << 10
-	// controlQueue is a few rounds of digests, or the claims of a busy second.
+	// controlQueue has room for a few rounds of digests, or for the claims of one second at high
+	// load.
 	controlQueue = 256
 	bulkQueue    = 4
-	// writeTimeout ends a link whose other side takes no bytes.
+	// writeTimeout is the time after which a link is closed if the peer accepts no bytes.
 	writeTimeout = 5 * time.Second
 )
 
-// Reasons why a connection does not become a link.
+// Errors for which a connection is refused as a link.
 var (
-	errWrongPeer  = errors.New("peer: another instance answers at this address")
-	errOtherFleet = errors.New("peer: an instance of another fleet")
-	errOlder      = errors.New("peer: a later incarnation has a link")
+	errWrongPeer  = errors.New("peer: unexpected instance at this address")
+	errOtherFleet = errors.New("peer: instance belongs to another fleet")
+	errOlder      = errors.New("peer: a later incarnation is already connected")
 	errFull       = errors.New("peer: too many links")
 )
 
-// link is one connection after both sides said hello.
+// link is a connection to a peer on which the handshake is complete.
 type link struct {
 	owner   *Links
 	peer    *peerpb.Hello
@@ -43,11 +44,11 @@
 	conn    *endingConn
 	control chan core.PeerMessage
 	bulk    chan core.PeerMessage
-	// ended is closed once the link has posted its last event.
+	// ended is closed after the link has posted its last event.
 	ended chan struct{}
 }
 
-// send queues a message and tells whether there was room.
+// send queues a message and reports whether the queue had room.
 func (k *link) send(m core.PeerMessage) bool {
 	queue := k.control
 	if m.ConfigOffer != nil || m.EntriesOffer != nil {
@@ -61,10 +62,11 @@
 	}
 }
 
-// run makes a connection a link and serves it to its end.
+// run performs the handshake on a connection, registers the link and serves it until it is
+// closed.
 func (l *Links) run(ctx context.Context, raw net.Conn, name string, dialed bool) error {
 	conn := &endingConn{Conn: &countingConn{Conn: raw, stats: &l.stats}}
-	// A cancelled context must end reads and writes in progress as well.
+	// Cancellation of ctx must also abort reads and writes in progress.
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
 	defer func() { _ = raw.Close() }()
@@ -79,8 +81,8 @@
 		return err
 	}
 	if peer.Fleet != l.cfg.Fleet {
-		// An address that another fleet now uses. What its instances say of entries and
-		// configurations has higher numbers by chance, and would be believed for ever.
+		// The address is now used by another fleet. If its revisions and generations happen to be
+		// higher, this fleet would adopt its entries and configuration for good.
 		l.stats.stranger()
 		return errOtherFleet
 	}
@@ -103,15 +105,16 @@
 		return err
 	}
 	if old != nil {
-		// The other side made a new connection: to it the old one is dead. Its last
-		// event comes before the first one of this link.
+		// The peer made a new connection, so the old link is dead. The old link's last event must
+		// precede the first event of the new one.
 		_ = old.session.Close()
 		<-old.ended
 	}
 	return k.serve(ctx, dialed)
 }
 
-// greet exchanges hellos. Nothing else is allocated for a stranger before.
+// greet exchanges hellos. No other memory is allocated for a connection before its handshake is
+// complete.
 func (l *Links) greet(conn net.Conn) (*peerpb.Hello, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
@@ -125,19 +128,19 @@
 	if _, err := conn.Write(frame); err != nil {
 		return nil, fmt.Errorf("peer: hello: %w", err)
 	}
-	answer, err := readFrame(byteReader{conn}, maxHello)
+	reply, err := readFrame(byteReader{conn}, maxHello)
 	if err != nil {
 		return nil, err
 	}
-	hello, err := decodeHello(answer)
+	hello, err := decodeHello(reply)
 	if err != nil {
 		return nil, err
 	}
 	return hello, conn.SetDeadline(time.Time{})
 }
 
-// byteReader reads single bytes without reading ahead, so that what follows the
-// hello stays on the connection.
+// byteReader reads single bytes without buffering, so that the bytes after the hello remain on
+// the connection.
 type byteReader struct{ io.Reader }
 
 func (r byteReader) ReadByte() (byte, error) {
@@ -158,9 +161,9 @@
 	return yamux.Server(conn, cfg)
 }
 
-// register makes k the link of its peer and gives the one that it replaces. A
-// frozen process that wakes may still dial under an incarnation that has been
-// replaced: that one is refused.
+// register makes k the link of its peer and returns the link that it replaces. It refuses an
+// incarnation older than the connected one: a process that was frozen may dial after it has been
+// replaced.
 func (l *Links) register(k *link) (*link, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +186,7 @@
 	}
 }
 
-// serve moves messages until either side ends the link.
+// serve sends and receives messages until either side closes the link.
 func (k *link) serve(ctx context.Context, dialed bool) error {
 	defer close(k.ended)
 	post := k.owner.cfg.Post
@@ -214,7 +217,8 @@
 	return group.Wait()
 }
 
-// stream opens or accepts the next stream: control first, then bulk.
+// stream opens or accepts the next stream. The control stream comes first, then the bulk
+// stream.
 func (k *link) stream(ctx context.Context, dialed bool) (*yamux.Stream, error) {
 	if dialed {
 		return k.session.OpenStream()
@@ -224,8 +228,9 @@
 	return k.session.AcceptStreamWithContext(ctx)
 }
 
-// read posts what the peer sends. A link that is silent for longer than idle is
-// half open, or its peer is frozen: it is ended, and no more is concluded.
+// read posts the messages that the peer sends. It returns an error, which closes the link, if
+// nothing arrives for longer than idle: the connection is half open or the peer is frozen. A
+// closed link alone does not mark the peer as gone.
 func (k *link) read(stream *yamux.Stream, idle time.Duration) error {
 	r := bufio.NewReader(stream)
 	d := NewDecoder()
@@ -258,8 +263,8 @@
 	return err
 }
 
-// write sends what is queued. A peer that takes no bytes ends the link by
-// writeTimeout; until then its queue fills and drops, and nobody waits for it.
+// write sends the queued messages. The link is closed if the peer accepts no bytes for
+// writeTimeout. Until then messages that find the queue full are dropped, so senders never block.
 func (k *link) write(ctx context.Context, stream *yamux.Stream, queue <-chan core.PeerMessage) error {
 	e := newEncoder(&k.owner.texts)
 	for {
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -20,7 +20,7 @@
 
 const patience = 20 * time.Second
 
-// instance is one end of links, with the events that it posted.
+// instance is a running Links with the events that it posted.
 type instance struct {
 	*Links
 	address string
@@ -34,7 +34,8 @@
 	return newImpatient(t, patience, name, incarnation, seeds...)
 }
 
-// newImpatient ends links that are silent for longer than idle.
+// newImpatient starts an instance that closes links after idle without a received
+// frame.
 func newImpatient(t *testing.T, idle time.Duration, name string, incarnation uint64, seeds ...string) *instance {
 	t.Helper()
 	listener, err := Listen(t.Context(), "127.0.0.1:0")
@@ -82,18 +83,18 @@
 	}
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, patience, 5*time.Millisecond, what)
+	require.Eventually(t, ok, patience, 5*time.Millisecond, condition)
 }
 
 func claim(token uint64) core.PeerMessage {
 	return core.PeerMessage{Claim: &claims.Request{Token: token, Set: claims.Claimed}}
 }
 
-// TestPairHasOneLink sets each of two instances as the other's peer: one
-// connection must come of it, over which both send, and the bytes counted by
-// kind must be those that the connection carried.
+// TestPairHasOneLink sets each of two instances as the other's peer. They must establish a single
+// connection for both directions, and sender and receiver must count the same messages and bytes
+// per kind.
 func TestPairHasOneLink(t *testing.T) {
 	a, b := newInstance(t, "a", 1), newInstance(t, "b", 1)
 	a.Set([]core.PeerAddress{{Name: "b", Address: b.address}})
@@ -120,9 +121,9 @@
 	require.Less(t, sent[LinkOverhead].Bytes, uint64(200), "hello, two streams and window updates")
 }
 
-// TestSendToStalledPeerNeverWaits freezes a peer: its process accepts, says
-// hello and then reads nothing (SIGSTOP, or a half-open connection). A send must
-// return at once, drops are counted, and the link ends by the silence.
+// TestSendToStalledPeerNeverWaits connects to a peer that completes the handshake and then reads
+// nothing, like a process after SIGSTOP or a half-open connection. Send must return at once,
+// dropped messages must be counted, and the idle limit must close the link.
 func TestSendToStalledPeerNeverWaits(t *testing.T) {
 	a := newImpatient(t, 500*time.Millisecond, "a", 1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,12 +150,11 @@
 		a.Send("z", big)
 	}
 	require.NotZero(t, a.Stats().Snapshot().Dropped[DigestKind])
-	eventually(t, "silence ends the link", func() bool { return a.count(lost) > 0 })
+	eventually(t, "idle limit closes the link", func() bool { return a.count(lost) > 0 })
 }
 
-// TestStrangersAreTurnedAway feeds the port what no instance would send. Each
-// connection is closed and counted, no link comes of it, and a good peer is
-// still served.
+// TestStrangersAreTurnedAway sends invalid first frames to the peer port. Each connection must
+// be closed and counted and must not become a link, and a valid peer must still be able to connect.
 func TestStrangersAreTurnedAway(t *testing.T) {
 	b := newInstance(t, "b", 1)
 	oversize := binary.AppendUvarint(nil, maxFrame+1)
@@ -173,11 +173,11 @@
 		require.False(t, isTimeout(err, &timeout), "the connection must be closed on %q", input)
 		require.NoError(t, conn.Close())
 	}
-	eventually(t, "counted", func() bool { return b.Stats().Snapshot().Strangers == 5 })
+	eventually(t, "connections counted", func() bool { return b.Stats().Snapshot().Strangers == 5 })
 	require.Zero(t, b.count(connected))
 	a := newInstance(t, "a", 1)
 	a.Set([]core.PeerAddress{{Name: "b", Address: b.address}})
-	eventually(t, "good peer", func() bool { return b.count(connected) == 1 })
+	eventually(t, "valid peer connected", func() bool { return b.count(connected) == 1 })
 }
 
 func isTimeout(err error, target *net.Error) bool {
@@ -186,8 +186,8 @@
 	return ok && e.Timeout()
 }
 
-// TestBadFrameEndsTheLink lets an instance that said hello send bytes that are no
-// frame: the link ends, the fault is counted, nothing of it reaches the core.
+// TestBadFrameEndsTheLink sends an invalid frame after a valid handshake. The link must be closed,
+// the bad frame counted, and no message passed to the core.
 func TestBadFrameEndsTheLink(t *testing.T) {
 	b := newInstance(t, "b", 1)
 	conn, err := net.Dial("tcp", b.address)
@@ -201,16 +201,16 @@
 	require.NoError(t, err)
 	_, err = session.OpenStream()
 	require.NoError(t, err)
-	// The other side may end the session before the write has returned.
+	// The peer may close the session before the write returns.
 	_, _ = stream.Write([]byte{6, 0x1a, 4, 0x2a, 2, 1, 1})
-	eventually(t, "link ended", func() bool { return b.count(lost) == 1 })
+	eventually(t, "link closed", func() bool { return b.count(lost) == 1 })
 	require.Equal(t, uint64(1), b.Stats().Snapshot().BadFrames)
 	require.Zero(t, b.count(func(e core.Event) bool { _, ok := e.(core.PeerReceived); return ok }))
 }
 
-// TestRestartedPeerReplacesItsLink restarts an instance under its name while the
-// other side still holds the old connection: the new link takes its place, its
-// events come after the old one's end, and the old incarnation can't come back.
+// TestRestartedPeerReplacesItsLink restarts an instance under the same name while its peer still
+// has the old connection. The new link must replace the old one, its events must follow the old
+// link's last event, and the old incarnation must not be able to reconnect.
 func TestRestartedPeerReplacesItsLink(t *testing.T) {
 	b := newInstance(t, "b", 1)
 	first := newInstance(t, "a", 1, b.address)
@@ -240,8 +240,8 @@
 	_ = first
 }
 
-// TestLinkComesBackAfterACut closes the connection under a link again and again;
-// the side that dials must bring it up again.
+// TestLinkComesBackAfterACut closes the connection of a link several times. The dialing side
+// must reestablish it each time.
 func TestLinkComesBackAfterACut(t *testing.T) {
 	a, b := newInstance(t, "a", 1), newInstance(t, "b", 1)
 	a.Set([]core.PeerAddress{{Name: "b", Address: b.address}})
@@ -256,8 +256,8 @@
 	b.Set(nil)
 }
 
-// TestUnknownInstanceReachesALesserName starts b, which a has in no list, so that
-// a never dials though its name is the lesser: b must dial by itself.
+// TestUnknownInstanceReachesALesserName starts an instance b that is not in the peer list of a. Of
+// the pair, a has the lesser name but never dials, so b must dial.
 func TestUnknownInstanceReachesALesserName(t *testing.T) {
 	a, b := newInstance(t, "a", 1), newInstance(t, "b", 1)
 	b.Set([]core.PeerAddress{{Name: "a", Address: a.address}})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,10 +1,9 @@
-// Package peer holds the links between the fleet's own instances: one TCP
-// connection a pair, divided by yamux into two streams of protobuf frames.
+// Package peer maintains the links between the instances of the fleet: one TCP connection per
+// pair, multiplexed by yamux into two streams of protobuf frames.
 //
-// The two streams are what yamux is for: an operators' text of up to a megabyte
-// goes through the bulk stream under its own flow control, while digests and
-// claims go on through the control stream. The protocol's own digests are the
-// heartbeat, so neither yamux nor TCP sends keep-alives beside them.
+// The bulk stream carries configurations of up to a megabyte under its own flow control, so that
+// they don't delay the digests and claims on the control stream. The digests are the heartbeat,
+// so keep-alives are disabled in both yamux and TCP.
 package peer
 
 import (
@@ -21,60 +20,62 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// protocolVersion is the version in the hello; a link between two versions is
-// refused.
+// protocolVersion is the version in the hello. A link between instances of different versions
+// is refused.
 const protocolVersion = 2
 
-// Times of a link.
+// Timeouts and intervals of a link.
 const (
 	dialTimeout = 2 * time.Second
-	// helloTimeout bounds the wait for a stranger's first frame.
+	// helloTimeout bounds the wait for the hello on a new connection.
 	helloTimeout = 3 * time.Second
 	minBackoff   = 100 * time.Millisecond
 	maxBackoff   = 5 * time.Second
-	// servedPause is how often a holder looks whether the link that another one made
-	// is still there.
+	// servedPause is the interval at which the goroutine that keeps a peer connected checks an
+	// existing link that it did not dial itself.
 	servedPause = time.Second
 )
 
-// Bounds on what others may hold open here.
+// Limits on connections that other hosts open.
 const (
-	// maxLinks is over the links of an instance in the largest layout and those of
-	// all others to the owner of a range of claims.
+	// maxLinks is above the number of links that the largest layout requires, plus the links of
+	// all other instances to the owner of a partition of the claims ledger.
 	maxLinks = 512
-	// maxStrangers bounds the connections that have not said hello yet.
+	// maxStrangers bounds the accepted connections that have not completed the handshake.
 	maxStrangers = 64
 )
 
-// Config says who this instance is to its peers.
+// Config describes this instance to its peers and sets the parameters of its links.
 type Config struct {
-	// Fleet names the fleet; links to instances of another one are refused.
+	// Fleet is the name of the fleet. Links to instances of another fleet are refused.
 	Fleet       string
 	Name        string
 	Zone        string
 	Incarnation uint64
-	// Listener takes peers' connections; Run closes it.
+	// Listener accepts connections from peers. Run closes it.
 	Listener net.Listener
-	// Seeds are addresses to which a link is held whoever answers there, so that
-	// an instance that starts while the platform is away finds the fleet.
+	// Seeds are addresses of instances whose names need not be known. An instance that starts
+	// while the platform is unreachable joins the fleet through them.
 	Seeds []string
-	// Post hands events to the core; it may wait.
+	// Post passes events to the core. It may block.
 	Post func(core.Event)
-	// IdleLimit is how long a link may be silent; 0 is the default.
+	// IdleLimit is the time without a frame on the control stream after which a link is closed.
+	// 0 selects the default.
 	IdleLimit time.Duration
-	// DialWait is how long the greater name of a pair waits for the lesser to
-	// dial; 0 is the default.
+	// DialWait is how long the instance with the greater name of a pair waits for the other one
+	// to dial. 0 selects the default.
 	DialWait time.Duration
 }
 
 const (
-	// defaultIdleLimit is a few times the longest pause between digests.
+	// defaultIdleLimit is several times the longest interval between digests.
 	defaultIdleLimit = 15 * time.Second
-	// defaultDialWait is longer than a list's usual lag.
+	// defaultDialWait is longer than the usual delay until an instance appears in the peer list
+	// of the other one.
 	defaultDialWait = 5 * time.Second
 )
 
-// Links holds this instance's links. Set and Send never wait.
+// Links manages the links of this instance. Set and Send never block.
 type Links struct {
 	cfg       Config
 	stats     Stats
@@ -87,7 +88,7 @@
 	links  map[string]*link
 }
 
-// New returns links that Run brings up.
+// New returns the links of an instance. Run establishes them.
 func New(cfg Config) *Links {
 	if cfg.IdleLimit == 0 {
 		cfg.IdleLimit = defaultIdleLimit
@@ -104,16 +105,16 @@
 	}
 }
 
-// Listen opens the port for peers, without TCP keep-alives.
+// Listen opens the port for peers with TCP keep-alives disabled.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
 	return lc.Listen(ctx, "tcp", address)
 }
 
-// Stats gives the counters of all links.
+// Stats returns the counters of all links.
 func (l *Links) Stats() *Stats { return &l.stats }
 
-// Set says to which instances links must be held.
+// Set sets the peers to which links are maintained.
 func (l *Links) Set(peers []core.PeerAddress) {
 	wanted := make(map[string]string, len(peers))
 	for _, p := range peers {
@@ -128,8 +129,8 @@
 	}
 }
 
-// Send hands a message to a peer's link. A message to a peer without a link, or
-// to one whose queue is full, is dropped and counted.
+// Send queues a message on the link to a peer. If the peer has no link or the queue is full, the
+// message is dropped and counted.
 func (l *Links) Send(to string, m core.PeerMessage) {
 	l.mu.Lock()
 	link := l.links[to]
@@ -139,7 +140,7 @@
 	}
 }
 
-// Run holds the links until ctx ends.
+// Run maintains the links until ctx is done.
 func (l *Links) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -161,35 +162,35 @@
 	return err
 }
 
-// holder keeps the link to one wanted peer.
+// holder is the goroutine that keeps one peer connected.
 type holder struct {
 	address string
 	cancel  context.CancelFunc
 }
 
-// reconcile starts and ends holders as the wanted peers change.
+// reconcile starts and stops one goroutine per peer as the set of peers changes.
 func (l *Links) reconcile(ctx context.Context, group *errgroup.Group) error {
-	holders := make(map[string]holder)
+	connectors := make(map[string]holder)
 	for {
 		wanted := l.wantedPeers()
-		for name, h := range holders {
-			if wanted[name] != h.address {
-				h.cancel()
-				delete(holders, name)
+		for name, c := range connectors {
+			if wanted[name] != c.address {
+				c.cancel()
+				delete(connectors, name)
 			}
 		}
 		for name, address := range wanted {
-			if _, held := holders[name]; held {
+			if _, held := connectors[name]; held {
 				continue
 			}
 			ctx, cancel := context.WithCancel(ctx)
-			holders[name] = holder{address: address, cancel: cancel}
+			connectors[name] = holder{address: address, cancel: cancel}
 			group.Go(func() error { return l.hold(ctx, name, address) })
 		}
 		select {
 		case <-ctx.Done():
-			for _, h := range holders {
-				h.cancel()
+			for _, c := range connectors {
+				c.cancel()
 			}
 			return nil
 		case <-l.changed:
@@ -203,15 +204,15 @@
 	return l.wanted
 }
 
-// hold keeps a link to the peer at address until ctx ends. Failures are spread
-// by a jittered back-off, so that a healed zone is not met by all at once.
+// hold keeps a link to the peer at address until ctx is done. It retries with jittered
+// exponential backoff, so that the instances don't all dial a recovered zone at once.
 //
-// Of each pair the lesser name dials, so that the pair has one link and no byte
-// goes twice. The other waits, and dials only if no link comes: an instance that
-// started while the platform is away is in nobody's list but its own. A seed, whose
-// name is not known, is dialled only while there is no link at all: a second link to
-// a peer takes the place of its first, and two holders of the same peer would end
-// each other's links for ever.
+// The instance with the lesser name of a pair dials, so that the pair has one link and sends
+// nothing twice. The other instance waits and dials only if no link is established: the peer may
+// not know of it, for example if it started while the platform was unreachable. A seed, whose
+// name is not known, is dialed only while there is no link at all: a new link to a peer replaces
+// the existing one, and two goroutines that dial the same peer would replace each other's links
+// without end.
 func (l *Links) hold(ctx context.Context, name, address string) error {
 	backoff := minBackoff
 	for {
@@ -226,13 +227,13 @@
 			}
 			continue
 		}
-		began := time.Now()
+		started := time.Now()
 		err := l.dial(ctx, name, address)
 		if ctx.Err() != nil {
 			return nil
 		}
-		klog.V(1).InfoS("peer link ended", "peer", name, "address", address, "error", err)
-		if time.Since(began) > 2*maxBackoff {
+		klog.V(1).InfoS("peer link down; retrying", "peer", name, "address", address, "error", err)
+		if time.Since(started) > 2*maxBackoff {
 			backoff = minBackoff
 		}
 		if !sleep(ctx, backoff/2+rand.N(backoff)) {
@@ -242,8 +243,8 @@
 	}
 }
 
-// served tells whether nothing is to be dialled: the peer has a link, or for a seed
-// any peer has.
+// served reports whether the peer has a link. For a seed, which has no name, it reports whether
+// any peer has a link.
 func (l *Links) served(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -253,7 +254,7 @@
 	return l.links[name] != nil
 }
 
-// sleep waits and tells whether ctx goes on.
+// sleep waits for d or until ctx is done. It reports whether the full time has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -281,8 +282,8 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return err
 			}
-			// Out of file descriptors, for one: the links that are up go on.
-			klog.ErrorS(err, "accept peer")
+			// The process may be out of file descriptors. Existing links are not affected.
+			klog.ErrorS(err, "failed to accept a peer connection")
 			time.Sleep(minBackoff)
 			continue
 		}
@@ -295,7 +296,7 @@
 		}
 		group.Go(func() error {
 			if err := l.run(ctx, conn, "", false); err != nil {
-				klog.V(1).InfoS("peer link ended", "remote", conn.RemoteAddr().String(), "error", err)
+				klog.V(1).InfoS("peer link closed", "remote", conn.RemoteAddr().String(), "error", err)
 			}
 			return nil
 		})
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -8,10 +8,10 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// Kind is the kind of a message, a label of the control counters.
+// Kind is the kind of a message. It is a label of the control traffic metrics.
 type Kind int
 
-// The kinds of messages. LinkOverhead is what belongs to none: hellos and yamux
+// The kinds of messages. LinkOverhead counts traffic that belongs to no message: hellos and yamux
 // frames without data.
 const (
 	DigestKind Kind = iota
@@ -25,12 +25,12 @@
 	kinds
 )
 
-// String is the label's value.
+// String returns the value of the metric label.
 func (k Kind) String() string {
 	return [kinds]string{"digest", "config-offer", "config-wanted", "entries-offer", "entries-wanted", "claim", "claim-reply", "link"}[k]
 }
 
-// Kinds lists all kinds.
+// Kinds returns all kinds.
 func Kinds() []Kind {
 	out := make([]Kind, kinds)
 	for k := range out {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// KindOf gives the kind of a message. A digest that goes along with another
-// message counts as that.
+// KindOf returns the kind of a message. A digest that is sent along with another message is
+// counted under the kind of that message.
 func KindOf(m core.PeerMessage) Kind {
 	switch {
 	case m.ConfigOffer != nil:
@@ -60,14 +60,14 @@
 	}
 }
 
-// YamuxHeader is the size in bytes of the header that yamux puts before a frame
-// (its specification, "Framing").
+// YamuxHeader is the size in bytes of the header of a yamux frame (yamux specification,
+// "Framing").
 const YamuxHeader = 12
 
 // Count is the traffic of one kind in one direction.
 type Count struct {
 	Messages uint64
-	// Bytes are those on the connection: frame, its length and the yamux header.
+	// Bytes counts the bytes on the connection: frame, length prefix and yamux header.
 	Bytes uint64
 }
 
@@ -82,7 +82,7 @@
 	return Count{Messages: c.messages.Load(), Bytes: c.bytes.Load()}
 }
 
-// Stats counts what all links of an instance carried.
+// Stats counts the traffic on all links of an instance.
 type Stats struct {
 	in, out       [kinds]counter
 	drops         [kinds]atomic.Uint64
@@ -94,15 +94,15 @@
 	framesByteOut atomic.Uint64
 }
 
-// Snapshot is the counters at one moment.
+// Snapshot holds the counters at one point in time.
 type Snapshot struct {
 	In, Out map[Kind]Count
-	// Dropped counts messages that found no link or a full queue.
+	// Dropped counts messages dropped because the peer had no link or its queue was full.
 	Dropped map[Kind]uint64
-	// Strangers counts connections that said no proper hello, or came while too
-	// many had not said theirs.
+	// Strangers counts connections that were closed because they sent no valid hello, came from
+	// another fleet, or exceeded the limit on connections without a completed handshake.
 	Strangers uint64
-	// BadFrames counts links ended because of bytes that are no frame.
+	// BadFrames counts links closed because of an invalid frame.
 	BadFrames uint64
 }
 
@@ -122,8 +122,8 @@
 	return out
 }
 
-// rest is what the connection carried beside the frames. A frame may be counted
-// a moment before or after its bytes are.
+// rest returns the number of bytes on the connections that belong to no message. It is at
+// least 0: a frame may be counted shortly before or after its bytes.
 func rest(wire, frames *atomic.Uint64) uint64 {
 	f := frames.Load()
 	w := wire.Load()
@@ -154,12 +154,12 @@
 	s.badFrames.Add(1)
 }
 
-// WireSize is what a frame of so many bytes takes on the connection.
+// WireSize returns the number of bytes on the connection for a frame of the given size.
 func WireSize(frame int) int {
 	return YamuxHeader + len(binary.AppendUvarint(nil, uint64(frame))) + frame
 }
 
-// countingConn counts every byte of a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	stats *Stats
