--- a/cmd/ebonyctl/fleet.go
+++ b/cmd/ebonyctl/fleet.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	// askTimeout bounds one question to one instance.
+	// askTimeout limits one request to one instance.
 	askTimeout = 3 * time.Second
-	// maxAnswer bounds an instance's answer, in bytes.
+	// maxAnswer is the maximum size of an instance's response in bytes.
 	maxAnswer = 16 << 20
-	// maxAsked bounds the instances asked at once.
+	// maxAsked limits the concurrent requests to instances.
 	maxAsked = 32
 )
 
-// asked is one instance's answer about its status.
+// asked is the result of a status request to one instance.
 type asked struct {
 	Address string       `json:"address"`
 	Status  *core.Status `json:"status,omitempty"`
 	Error   string       `json:"error,omitempty"`
 }
 
-// askAll asks every given instance for its status, in the order given.
+// askAll requests the status of every instance in --instances and returns the results in that
+// order.
 func (c *cli) askAll(ctx context.Context) []asked {
-	answers := make([]asked, len(c.Instances))
-	slots := make(chan struct{}, maxAsked)
-	var wait sync.WaitGroup
+	results := make([]asked, len(c.Instances))
+	semaphore := make(chan struct{}, maxAsked)
+	var wg sync.WaitGroup
 	for i, address := range c.Instances {
-		wait.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			answers[i] = askStatus(ctx, address)
+		wg.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			results[i] = askStatus(ctx, address)
 		})
 	}
-	wait.Wait()
-	return answers
+	wg.Wait()
+	return results
 }
 
 func askStatus(ctx context.Context, address string) asked {
@@ -55,7 +56,8 @@
 	return asked{Address: address, Status: &s}
 }
 
-// ask calls an instance's interface and reads its JSON answer into v, if not nil.
+// ask sends a request to an instance's admin interface and decodes the JSON response into v,
+// unless v is nil.
 func ask(ctx context.Context, method, address, path string, query url.Values, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -88,34 +90,34 @@
 	return nil
 }
 
-// askFirst calls the given instances in turn until one answers.
+// askFirst sends a request to the instances in --instances in order until one succeeds.
 func (c *cli) askFirst(ctx context.Context, path string, query url.Values, v any) error {
-	var last error
+	var lastErr error
 	for _, address := range c.Instances {
-		if last = ask(ctx, http.MethodGet, address, path, query, v); last == nil {
+		if lastErr = ask(ctx, http.MethodGet, address, path, query, v); lastErr == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w\nGive the admin_listen addresses of running instances with --instances", last)
+	return fmt.Errorf("%w\nGive the admin_listen addresses of running instances with --instances", lastErr)
 }
 
-// highestInForce returns the highest generation that any instance is known to
-// have in force, 0 if none answers. Instances also tell of their peers, so one
-// that answers is enough to notice a store that went back.
+// highestInForce returns the highest generation known to be in force on an instance, or 0 if
+// no instance responds. An instance also reports the generations of its peers, so one response
+// is enough to detect a store that returned to an older state.
 func (c *cli) highestInForce(ctx context.Context) uint64 {
 	var highest uint64
-	answered := false
-	for _, a := range c.askAll(ctx) {
-		if a.Status == nil {
+	responded := false
+	for _, r := range c.askAll(ctx) {
+		if r.Status == nil {
 			continue
 		}
-		answered = true
-		highest = max(highest, a.Status.Generation)
-		for _, p := range a.Status.Peers {
+		responded = true
+		highest = max(highest, r.Status.Generation)
+		for _, p := range r.Status.Peers {
 			highest = max(highest, p.Generation)
 		}
 	}
-	if !answered {
+	if !responded {
 		_, _ = fmt.Fprintln(c.err, "warning: no instance answers at --instances: a store that went back would not be noticed")
 	}
 	return highest
@@ -125,7 +127,7 @@
 	Instance string `arg:"" help:"Name of an instance among --instances, or its operators' address."`
 }
 
-// Run orders the graceful shutdown of one instance.
+// Run starts the graceful shutdown of one instance.
 func (c *drainCommand) Run(global *cli) error {
 	ctx, cancel := global.context()
 	defer cancel()
@@ -144,9 +146,9 @@
 }
 
 func (c *cli) addressOf(ctx context.Context, name string) (string, error) {
-	for _, a := range c.askAll(ctx) {
-		if a.Status != nil && a.Status.Instance == name {
-			return a.Address, nil
+	for _, r := range c.askAll(ctx) {
+		if r.Status != nil && r.Status.Instance == name {
+			return r.Address, nil
 		}
 	}
 	return "", fmt.Errorf("no instance at %s is named %q; give its admin_listen address", strings.Join(c.Instances, ", "), name)
--- a/cmd/ebonyctl/main.go
+++ b/cmd/ebonyctl/main.go
@@ -1,4 +1,4 @@
-// Command ebonyctl is the operators' tool.
+// Command ebonyctl is the operators' command-line tool for the router fleet.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/ebonydyke/ebonydyke/platform"
 )
 
-// Exit codes. Scripts rest on them: a code keeps its meaning.
+// Exit codes. Scripts depend on them, so the meaning of a code must not change.
 const (
 	exitOK            = 0
 	exitFailed        = 1
@@ -63,19 +63,19 @@
 	return context.WithTimeout(context.Background(), c.Timeout)
 }
 
-// exitError ends the tool with a code of its own.
+// exitError is an error with its own exit code.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error is the message for the operator.
+// Error returns the message for the operator.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
-// exitCode maps an error to the documented code.
+// exitCode returns the documented exit code for an error.
 func exitCode(err error) int {
 	var findings config.Findings
 	var coded *exitError
@@ -97,7 +97,7 @@
 	}
 }
 
-// advice tells an operator what to do about an error.
+// advice returns what an operator can do about an error, or "".
 func advice(err error) string {
 	switch exitCode(err) {
 	case exitFailed:
@@ -118,8 +118,8 @@
 
 func main() {
 	c := cli{out: os.Stdout, err: os.Stderr}
-	k := kong.Parse(&c, kong.Name("ebonyctl"), kong.Description(description))
-	err := k.Run(&c)
+	parsed := kong.Parse(&c, kong.Name("ebonyctl"), kong.Description(description))
+	err := parsed.Run(&c)
 	if err != nil {
 		_, _ = fmt.Fprintln(c.err, err)
 		if text := advice(err); text != "" {
--- a/cmd/ebonyctl/placement.go
+++ b/cmd/ebonyctl/placement.go
@@ -15,31 +15,31 @@
 	Hint     string `help:"The Ebonydyke-Placement header of the chat's last turn."`
 }
 
-// Run explains a placement.
+// Run prints how an instance would place the next turn of a chat, and why.
 func (c *explainCommand) Run(global *cli) error {
 	ctx, cancel := global.context()
 	defer cancel()
 	query := url.Values{"service": {c.Service}, "customer": {c.Customer}, "chat": {c.Chat}, "hint": {c.Hint}}
-	var x core.Explanation
-	if err := global.askFirst(ctx, admin.PathExplain, query, &x); err != nil {
+	var explanation core.Explanation
+	if err := global.askFirst(ctx, admin.PathExplain, query, &explanation); err != nil {
 		return fmt.Errorf("explain: %w", err)
 	}
 	if global.JSON {
-		return global.printJSON(x)
+		return global.printJSON(explanation)
 	}
 	t := global.table("RANK", "BACKEND SERVER", "ZONE", "LOAD", "OWN", "WHY")
-	for i, b := range x.Ranking {
+	for i, b := range explanation.Ranking {
 		t.row(fmt.Sprint(i+1), b.Name, b.Zone, fmt.Sprintf("%.1f", b.Load), fmt.Sprint(b.Own), b.Why)
 	}
 	t.flush()
 	global.printf("generation %d; mean load %.2f; bound %v times the mean: up to %v requests, this chat moves on at %v\n",
-		x.Generation, x.Mean, x.Bound, x.Limit, x.Inner)
+		explanation.Generation, explanation.Mean, explanation.Bound, explanation.Limit, explanation.Inner)
 	global.printf("the service carries %.1f of %v requests; the customer has %d in progress at this instance\n",
-		x.Load, x.Capacity, x.CustomerInFlight)
-	if x.Refused != "" {
-		global.printf("the turn would be refused: %s\n", x.Refused)
+		explanation.Load, explanation.Capacity, explanation.CustomerInFlight)
+	if explanation.Refused != "" {
+		global.printf("the turn would be refused: %s\n", explanation.Refused)
 	} else {
-		global.printf("the turn would go to %s\n", x.Chosen)
+		global.printf("the turn would go to %s\n", explanation.Chosen)
 	}
 	return nil
 }
@@ -48,16 +48,16 @@
 	Service string `help:"Only this service."`
 }
 
-// Run lists the backend servers as the first instance sees them.
+// Run prints the backend servers in the view of the first instance that responds.
 func (c *backendsCommand) Run(global *cli) error {
 	ctx, cancel := global.context()
 	defer cancel()
-	var s core.Status
-	if err := global.askFirst(ctx, admin.PathStatus, nil, &s); err != nil {
+	var status core.Status
+	if err := global.askFirst(ctx, admin.PathStatus, nil, &status); err != nil {
 		return fmt.Errorf("backends: %w", err)
 	}
-	services := make([]core.ServiceStatus, 0, len(s.Services))
-	for _, service := range s.Services {
+	services := make([]core.ServiceStatus, 0, len(status.Services))
+	for _, service := range status.Services {
 		if c.Service == "" || c.Service == service.Name {
 			services = append(services, service)
 		}
@@ -72,7 +72,7 @@
 		}
 	}
 	t.flush()
-	global.printf("as %s sees them; OWN is its own part of the load\n", s.Instance)
+	global.printf("as %s sees them; OWN is its own part of the load\n", status.Instance)
 	return nil
 }
 
--- a/cmd/ebonyctl/print.go
+++ b/cmd/ebonyctl/print.go
@@ -17,14 +17,14 @@
 	return e.Encode(v)
 }
 
-// table prints rows in aligned columns.
+// table prints rows with aligned columns.
 type table struct {
 	w *tabwriter.Writer
 }
 
-func (c *cli) table(heads ...string) *table {
+func (c *cli) table(headings ...string) *table {
 	t := &table{w: tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)}
-	t.row(heads...)
+	t.row(headings...)
 	return t
 }
 
--- a/cmd/ebonyctl/send.go
+++ b/cmd/ebonyctl/send.go
@@ -30,7 +30,7 @@
 	Message       string `arg:"" optional:"" help:"What to say; the body for a plain service."`
 }
 
-// sent is what send prints for scripts.
+// sent is the JSON output of the send command.
 type sent struct {
 	Status    int            `json:"status"`
 	Request   string         `json:"request"`
@@ -42,7 +42,7 @@
 	Broken    string         `json:"broken,omitempty"`
 }
 
-// Run sends one request and says what became of it.
+// Run sends one request and reports its outcome.
 func (c *sendCommand) Run(global *cli) error {
 	ctx, cancel := global.context()
 	defer cancel()
@@ -111,17 +111,17 @@
 	return req, nil
 }
 
-// readBody prints the answer as it arrives, or keeps it for JSON.
+// readBody prints the response body as it arrives, or stores it in s for JSON output.
 func (c *sendCommand) readBody(global *cli, resp *http.Response, s *sent) {
-	var kept strings.Builder
+	var buffer strings.Builder
 	out := global.out
 	if global.JSON {
-		out = &kept
+		out = &buffer
 	}
 	if _, err := io.Copy(out, resp.Body); err != nil {
 		s.Broken = err.Error()
 	}
-	s.Body = kept.String()
+	s.Body = buffer.String()
 }
 
 func (s *sent) by() string {
@@ -131,7 +131,8 @@
 	return s.Backend
 }
 
-// err turns what became of the request into the tool's exit code.
+// err returns an error with the exit code for the request's outcome, or nil if the request was
+// answered.
 func (s *sent) err() error {
 	switch {
 	case s.Broken != "":
--- a/cmd/ebonyctl/status.go
+++ b/cmd/ebonyctl/status.go
@@ -13,7 +13,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/edit"
 )
 
-// statusInterval is how often status --wait asks again.
+// statusInterval is the polling interval of status --wait.
 const statusInterval = 200 * time.Millisecond
 
 type statusCommand struct {
@@ -21,38 +21,41 @@
 	Wait bool `help:"Wait until every known instance has the newest configuration in force."`
 }
 
-// fleetStatus is what status prints for scripts.
+// fleetStatus is the JSON output of the status command.
 type fleetStatus struct {
-	// Newest is the highest generation seen in the store or on an instance.
+	// Newest is the highest generation found in the store or on an instance.
 	Newest uint64 `json:"newest"`
-	// Stored is the generation that the store holds; StoreError why it was not read.
-	Stored     uint64  `json:"stored"`
-	StoreError string  `json:"store_error,omitempty"`
-	Instances  []asked `json:"instances"`
-	// Heard are live instances that were not asked, as their peers heard them.
+	// Stored is the generation in the store.
+	Stored uint64 `json:"stored"`
+	// StoreError is the error from reading the store, if any.
+	StoreError string `json:"store_error,omitempty"`
+	// Instances are the results of the status requests.
+	Instances []asked `json:"instances"`
+	// Heard are the live instances that were not queried, as reported by their peers.
 	Heard []heard `json:"heard"`
-	// Behind names the instances that are not known to be on the newest.
+	// Behind names the instances that are not known to have the newest generation in force.
 	Behind []string `json:"behind"`
 }
 
-// silentAfter is how long a peer may say nothing before the tool says so.
+// silentAfter is the time without a digest after which an instance is shown as silent.
 const silentAfter = 10 * time.Second
 
-// heard is a live instance that was not asked.
+// heard is a live instance that was not queried.
 type heard struct {
 	core.PeerStatus
-	// Silent says that its peers hear nothing of it, although the platform lists it.
+	// Silent is set if its peers receive no digests from it although the platform lists it.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// Run prints the status, once it is as wished.
+// Run prints the status. With --wait it first waits until the newest configuration is in force
+// everywhere or the timeout ends.
 func (c *statusCommand) Run(global *cli) error {
-	// Each question has its own time limit: one that the end of the wait cut short
-	// would show an instance as not answering.
+	// Each request has its own timeout. A request cut short by the end of the wait would show
+	// the instance as not responding.
 	ctx := context.Background()
-	end := time.Now().Add(global.Timeout)
+	deadline := time.Now().Add(global.Timeout)
 	s := global.fleetStatus(ctx)
-	for c.Wait && !s.settled() && time.Now().Before(end) {
+	for c.Wait && !s.settled() && time.Now().Before(deadline) {
 		time.Sleep(statusInterval)
 		s = global.fleetStatus(ctx)
 	}
@@ -69,7 +72,7 @@
 }
 
 func (s *fleetStatus) answered() bool {
-	return slices.ContainsFunc(s.Instances, func(a asked) bool { return a.Status != nil })
+	return slices.ContainsFunc(s.Instances, func(r asked) bool { return r.Status != nil })
 }
 
 func (s *fleetStatus) settled() bool { return s.Newest > 0 && len(s.Behind) == 0 }
@@ -78,16 +81,16 @@
 	s := &fleetStatus{Instances: c.askAll(ctx)}
 	storeCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	env, _, err := edit.Read(storeCtx, c.store())
+	envelope, _, err := edit.Read(storeCtx, c.store())
 	if err != nil {
 		s.StoreError = err.Error()
 	}
-	s.Stored = env.Generation
+	s.Stored = envelope.Generation
 	s.Newest = s.Stored
 	s.hearPeers()
-	for _, a := range s.Instances {
-		if a.Status != nil {
-			s.Newest = max(s.Newest, a.Status.Generation)
+	for _, r := range s.Instances {
+		if r.Status != nil {
+			s.Newest = max(s.Newest, r.Status.Generation)
 		}
 	}
 	for _, p := range s.Heard {
@@ -97,33 +100,33 @@
 	return s
 }
 
-// hearPeers collects what the asked instances heard of live ones that were not
-// asked, the latest word of each.
+// hearPeers adds the live instances that were not queried, each with the latest digest that a
+// queried instance received from it.
 func (s *fleetStatus) hearPeers() {
-	known := make(map[string]bool)
+	queried := make(map[string]bool)
 	live := make(map[string]bool)
-	for _, a := range s.Instances {
-		if a.Status == nil {
+	for _, r := range s.Instances {
+		if r.Status == nil {
 			continue
 		}
-		known[a.Status.Instance] = true
-		for _, in := range a.Status.Instances {
+		queried[r.Status.Instance] = true
+		for _, in := range r.Status.Instances {
 			live[in.Name] = live[in.Name] || in.State == membership.Live
 		}
 	}
 	latest := make(map[string]heard)
-	for _, a := range s.Instances {
-		if a.Status == nil {
+	for _, r := range s.Instances {
+		if r.Status == nil {
 			continue
 		}
-		for _, p := range a.Status.Peers {
+		for _, p := range r.Status.Peers {
 			if p.LastDigestAt.After(latest[p.Name].LastDigestAt) {
-				latest[p.Name] = heard{PeerStatus: p, Silent: a.Status.At.Sub(p.LastDigestAt) > silentAfter}
+				latest[p.Name] = heard{PeerStatus: p, Silent: r.Status.At.Sub(p.LastDigestAt) > silentAfter}
 			}
 		}
 	}
 	for name, isLive := range live {
-		if !isLive || known[name] {
+		if !isLive || queried[name] {
 			continue
 		}
 		p, ok := latest[name]
@@ -136,12 +139,12 @@
 }
 
 func (s *fleetStatus) findBehind() {
-	for _, a := range s.Instances {
+	for _, r := range s.Instances {
 		switch {
-		case a.Status == nil:
-			s.Behind = append(s.Behind, a.Address)
-		case a.Status.Generation < s.Newest:
-			s.Behind = append(s.Behind, a.Status.Instance)
+		case r.Status == nil:
+			s.Behind = append(s.Behind, r.Address)
+		case r.Status.Generation < s.Newest:
+			s.Behind = append(s.Behind, r.Status.Instance)
 		}
 	}
 	for _, p := range s.Heard {
@@ -164,37 +167,38 @@
 	return nil
 }
 
-// printInstances prints a row for each instance that is asked for.
-func (c *cli) printInstances(s *fleetStatus, wanted func(*asked) bool, wantedHeard func(*heard) bool) {
+// printInstances prints a row for each instance that its filter selects.
+func (c *cli) printInstances(s *fleetStatus, include func(*asked) bool, includeUnqueried func(*heard) bool) {
 	t := c.table("INSTANCE", "ZONE", "GENERATION", "STATE", "IN FLIGHT", "PLATFORM")
-	for _, a := range s.Instances {
-		if wanted(&a) {
-			t.row(instanceRow(&a)...)
+	for _, r := range s.Instances {
+		if include(&r) {
+			t.row(instanceRow(&r)...)
 		}
 	}
 	for _, p := range s.Heard {
-		if wantedHeard(&p) {
+		if includeUnqueried(&p) {
 			t.row(p.Name, "", generation(p.Generation), heardState(p), "", "")
 		}
 	}
 	t.flush()
 }
 
-func instanceRow(a *asked) []string {
-	if a.Status == nil {
-		return []string{a.Address, "", "", "no answer", "", ""}
+func instanceRow(r *asked) []string {
+	if r.Status == nil {
+		return []string{r.Address, "", "", "no answer", "", ""}
 	}
 	return []string{
-		a.Status.Instance, a.Status.Zone, generation(a.Status.Generation), state(a.Status),
-		fmt.Sprint(a.Status.InFlight), platformWord(a.Status),
+		r.Status.Instance, r.Status.Zone, generation(r.Status.Generation), state(r.Status),
+		fmt.Sprint(r.Status.InFlight), platformWord(r.Status),
 	}
 }
 
-// printConfiguration prints what the store and the instances say of the configuration.
+// printConfiguration prints the refused configurations and the generations in the store and in
+// force.
 func (c *cli) printConfiguration(s *fleetStatus) {
-	for _, a := range s.Instances {
-		if a.Status != nil && len(a.Status.Findings) > 0 {
-			c.printf("%s refused a newer configuration:\n%v\n", a.Status.Instance, a.Status.Findings)
+	for _, r := range s.Instances {
+		if r.Status != nil && len(r.Status.Findings) > 0 {
+			c.printf("%s refused a newer configuration:\n%v\n", r.Status.Instance, r.Status.Findings)
 		}
 	}
 	if s.StoreError != "" {
--- a/cmd/ebonyctl/status_test.go
+++ b/cmd/ebonyctl/status_test.go
@@ -12,7 +12,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// fleetOf is the status of a fleet of three zones that is all on generation 7.
+// fleetOf returns the status of a fleet of n instances in three zones, with generation 7 in
+// force on all of them.
 func fleetOf(n int) *fleetStatus {
 	s := &fleetStatus{Newest: 7, Stored: 7}
 	for i := range n {
@@ -33,8 +34,9 @@
 	return out.String()
 }
 
-// An operator of 91 instances looks for the three that are not well. A row for each of
-// the others pushed them off the screen.
+// TestStatusOfALargeFleetFitsOnAScreen guards against hiding the instances that need attention.
+// In a fleet of 91 instances, a row for each healthy one pushed the three unhealthy ones off
+// the screen.
 func TestStatusOfALargeFleetFitsOnAScreen(t *testing.T) {
 	s := fleetOf(91)
 	s.Instances[4].Status.Generation = 5
@@ -58,7 +60,7 @@
 	require.NotContains(t, all, "BEHIND")
 }
 
-// A small fleet keeps its rows.
+// TestStatusOfASmallFleetListsAll checks that a small fleet is listed with a row per instance.
 func TestStatusOfASmallFleetListsAll(t *testing.T) {
 	out := printed(t, fleetOf(8), false)
 	require.Contains(t, out, "entry-07")
--- a/cmd/ebonyctl/text.go
+++ b/cmd/ebonyctl/text.go
@@ -13,11 +13,12 @@
 	"github.com/ebonydyke/ebonydyke/internal/edit"
 )
 
-// readChecked reads a text and checks it. The error holds every finding.
+// readChecked reads and validates a configuration file. If the configuration is invalid, the
+// error holds every finding.
 func readChecked(file string) (string, *config.Snapshot, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return "", nil, fmt.Errorf("read the text: %w", err)
+		return "", nil, fmt.Errorf("read the configuration: %w", err)
 	}
 	snapshot, err := config.Check(file, config.Envelope{Text: string(text)})
 	return string(text), snapshot, err
@@ -27,7 +28,7 @@
 	File string `arg:"" help:"The text, JSON with comments."`
 }
 
-// Run checks a text.
+// Run validates a configuration file.
 func (c *checkCommand) Run(global *cli) error {
 	_, snapshot, err := readChecked(c.File)
 	findings := config.Findings{}
@@ -46,13 +47,13 @@
 	Base *uint64 `help:"Generation that the text was based on; the newest when left out."`
 }
 
-// applied is what apply prints for scripts.
+// applied is the JSON output of the apply command.
 type applied struct {
 	Generation uint64 `json:"generation"`
 	Edit       string `json:"edit"`
 }
 
-// Run writes a text over the generation it is based on.
+// Run replaces the configuration in the store, subject to the generation it is based on.
 func (c *applyCommand) Run(global *cli) error {
 	text, _, err := readChecked(c.File)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// newEditID names an edit by who makes it and when, so that a later reader of
-// the store can ask.
+// newEditID returns a unique edit ID from the host, the process and the time, so that the origin
+// of a stored edit can be traced.
 func newEditID() string {
 	host, _ := os.Hostname()
 	return fmt.Sprintf("%s-%d-%s", host, os.Getpid(), strconv.FormatInt(time.Now().UnixNano(), 36))
@@ -81,19 +82,19 @@
 
 type getCommand struct{}
 
-// Run prints what the store holds.
+// Run prints the stored configuration.
 func (c *getCommand) Run(global *cli) error {
 	ctx, cancel := global.context()
 	defer cancel()
-	env, _, err := edit.Read(ctx, global.store())
+	envelope, _, err := edit.Read(ctx, global.store())
 	if err != nil {
 		return fmt.Errorf("get: %w", err)
 	}
 	if global.JSON {
-		return global.printJSON(env)
+		return global.printJSON(envelope)
 	}
-	_, _ = fmt.Fprintf(global.err, "generation %d, edit %s\n", env.Generation, env.Edit)
-	global.printf("%s", env.Text)
+	_, _ = fmt.Fprintf(global.err, "generation %d, edit %s\n", envelope.Generation, envelope.Edit)
+	global.printf("%s", envelope.Text)
 	return nil
 }
 
@@ -101,7 +102,7 @@
 	File string `arg:"" help:"The text, JSON with comments."`
 }
 
-// Run prints the difference between the stored text and a file.
+// Run prints the difference between the stored configuration and a file.
 func (c *diffCommand) Run(global *cli) error {
 	text, _, err := readChecked(c.File)
 	if err != nil {
@@ -109,14 +110,14 @@
 	}
 	ctx, cancel := global.context()
 	defer cancel()
-	env, _, err := edit.Read(ctx, global.store())
+	envelope, _, err := edit.Read(ctx, global.store())
 	if err != nil {
 		return fmt.Errorf("diff: %w", err)
 	}
-	name := fmt.Sprintf("generation %d", env.Generation)
-	changes := string(diff.Diff(name, []byte(env.Text), c.File, []byte(text)))
+	name := fmt.Sprintf("generation %d", envelope.Generation)
+	changes := string(diff.Diff(name, []byte(envelope.Text), c.File, []byte(text)))
 	if global.JSON {
-		return global.printJSON(map[string]any{"generation": env.Generation, "diff": changes})
+		return global.printJSON(map[string]any{"generation": envelope.Generation, "diff": changes})
 	}
 	if changes == "" {
 		changes = fmt.Sprintf("no difference from %s\n", name)
--- a/cmd/ebonyctl/zones.go
+++ b/cmd/ebonyctl/zones.go
@@ -8,39 +8,39 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// oneScreen is the number of instances up to which each has a row of its own: with
-// the heads and the lines below the table they fill a terminal of 30 lines.
+// oneScreen is the maximum number of instances that are listed in one row each. With the
+// headings and the lines below the table, they fill a terminal of 30 lines.
 const oneScreen = 24
 
-// zoneStatus sums up the instances of one availability zone.
+// zoneStatus holds the totals over the instances of one availability zone.
 type zoneStatus struct {
 	instances, serving, behind, away, inFlight int
 }
 
-// printZones prints a row for each zone, and the instances that need a look with a row
-// of their own.
+// printZones prints a row for each zone, followed by a row for each instance that needs
+// attention.
 func (c *cli) printZones(s *fleetStatus) {
-	zones := make(map[string]*zoneStatus)
-	for _, a := range s.Instances {
-		if a.Status != nil {
-			zoneOf(zones, a.Status.Zone).add(a.Status, s.Newest)
+	totals := make(map[string]*zoneStatus)
+	for _, r := range s.Instances {
+		if r.Status != nil {
+			zoneOf(totals, r.Status.Zone).add(r.Status, s.Newest)
 		}
 	}
 	t := c.table("ZONE", "INSTANCES", "SERVING", "BEHIND", "PLATFORM AWAY", "IN FLIGHT")
-	for _, name := range slices.Sorted(maps.Keys(zones)) {
-		z := zones[name]
+	for _, name := range slices.Sorted(maps.Keys(totals)) {
+		z := totals[name]
 		t.row(name, fmt.Sprint(z.instances), fmt.Sprint(z.serving), fmt.Sprint(z.behind), fmt.Sprint(z.away), fmt.Sprint(z.inFlight))
 	}
 	t.flush()
 	c.printf("\n")
-	c.printInstances(s, func(a *asked) bool { return a.needsALook(s.Newest) }, func(p *heard) bool { return p.Silent || p.Generation < s.Newest })
+	c.printInstances(s, func(r *asked) bool { return r.needsALook(s.Newest) }, func(p *heard) bool { return p.Silent || p.Generation < s.Newest })
 }
 
-func zoneOf(zones map[string]*zoneStatus, name string) *zoneStatus {
-	if zones[name] == nil {
-		zones[name] = &zoneStatus{}
+func zoneOf(totals map[string]*zoneStatus, name string) *zoneStatus {
+	if totals[name] == nil {
+		totals[name] = &zoneStatus{}
 	}
-	return zones[name]
+	return totals[name]
 }
 
 func (z *zoneStatus) add(s *core.Status, newest uint64) {
@@ -59,8 +59,8 @@
 
 func platformAway(s *core.Status) bool { return s.Platform.Known && !s.Platform.Reachable }
 
-// needsALook tells whether something is unusual about an instance.
-func (a *asked) needsALook(newest uint64) bool {
-	s := a.Status
+// needsALook reports whether the instance is not in its normal state.
+func (r *asked) needsALook(newest uint64) bool {
+	s := r.Status
 	return s == nil || s.Stopping || s.Generation < newest || platformAway(s) || len(s.Findings) > 0
 }
--- a/cmd/ebonydyked/main.go
+++ b/cmd/ebonydyked/main.go
@@ -1,7 +1,7 @@
-// Command ebonydyked is one entry instance of the router fleet.
+// Command ebonydyked is the daemon of one instance of the router fleet.
 //
-// It ends with 0 after a graceful shutdown, with 1 after a failure, and with 2
-// when its settings have findings.
+// It exits with status 0 after a graceful shutdown, 1 after a failure, and 2 if its settings
+// are invalid.
 package main
 
 import (
@@ -32,9 +32,9 @@
 }
 
 func main() {
-	var f flags
-	kong.Parse(&f, kong.Description("An entry instance of the ebonydyke router fleet."))
-	s, err := settings.Read(f.Settings)
+	var options flags
+	kong.Parse(&options, kong.Description("An entry instance of the ebonydyke router fleet."))
+	s, err := settings.Read(options.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		var findings jsonc.Findings
@@ -43,30 +43,30 @@
 		}
 		os.Exit(exitFailed)
 	}
-	if f.Check {
+	if options.Check {
 		fmt.Println("no findings")
 		return
 	}
 	logJSON(s.LogVerbosity)
-	if err := daemon.Run(listenForSignals(), f.Settings, s); err != nil {
-		klog.ErrorS(err, "failed", "instance", s.Name)
+	if err := daemon.Run(listenForSignals(), options.Settings, s); err != nil {
+		klog.ErrorS(err, "daemon failed", "instance", s.Name)
 		os.Exit(exitFailed)
 	}
-	klog.InfoS("stopped", "instance", s.Name)
+	klog.InfoS("daemon stopped", "instance", s.Name)
 }
 
-// logJSON makes klog write JSON lines to standard output, with the lines of V
-// levels up to verbosity.
+// logJSON configures klog to write JSON lines to standard output, with V levels up to
+// verbosity.
 func logJSON(verbosity int) {
-	// The level of the handler lets all through: klog's own verbosity decides, and
-	// can change while the process runs.
+	// The handler's level lets every line through. klog's own verbosity filters the lines,
+	// because it can change while the process runs.
 	level := slog.Level(-settings.MaxVerbosity)
 	klog.SetSlogLogger(slog.New(slog.NewJSONHandler(os.Stdout, &slog.HandlerOptions{Level: level})))
 	daemon.SetVerbosity(verbosity)
 }
 
-// listenForSignals asks for the signals to stop and to read the settings again. A
-// hang-up that nobody asks for would end the process.
+// listenForSignals subscribes to the signals for shutdown and for reloading the settings. A
+// SIGHUP without a handler would terminate the process.
 func listenForSignals() daemon.Signals {
 	stop := make(chan struct{})
 	reload := make(chan os.Signal, 1)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,8 +1,8 @@
-// Package admin serves an instance's operators: metrics, health, readiness,
-// status, explanations of placements, and the order to drain.
+// Package admin serves the operators' HTTP interface of an instance: metrics, health,
+// readiness, status, explanations of placements and the drain request.
 //
-// It uses the standard library's server rather than fasthttp, because the
-// handler of the metrics library is made for it and nothing here is hot.
+// It uses net/http rather than fasthttp because the Prometheus handler is a net/http
+// handler and none of these endpoints is on a hot path.
 package admin
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// Paths of the interface.
+// Paths of the endpoints.
 const (
 	PathMetrics = "/metrics"
 	PathHealth  = "/healthz"
@@ -29,48 +29,50 @@
 )
 
 const (
-	// coreTimeout bounds the wait for the core. A core that does not answer within
-	// it is stuck or flooded, which is what the health check is there to show.
+	// coreTimeout limits the wait for the core. A core that does not respond in time is
+	// blocked or overloaded, and the health check must then fail.
 	coreTimeout = time.Second
-	// ioTimeout bounds the reading of a request and the writing of its answer.
+	// ioTimeout limits reading a request and writing its response.
 	ioTimeout = 10 * time.Second
-	// maxHeader is the largest header of a request, in bytes.
+	// maxHeader is the maximum size of a request header in bytes.
 	maxHeader = 16 << 10
-	// maxAnswers bounds the long answers given at once, and so what waits for the
-	// core. Probes have slots of their own: operators who read slowly must not make
-	// the balancer think that the instance is sick.
+	// maxAnswers limits the concurrent requests for large responses, and thereby the calls
+	// that wait for the core. Probes have a limit of their own: otherwise slow readers of
+	// large responses could make the load balancer's probes fail.
 	maxAnswers = 16
-	maxProbes  = 64
+	// maxProbes limits the concurrent requests with small responses: health, readiness and
+	// drain.
+	maxProbes = 64
 )
 
-// Instance is what the interface shows and orders.
+// Instance is the instance that the endpoints report on and control.
 type Instance interface {
 	// Status returns the instance's status.
 	Status(context.Context) (core.Status, error)
-	// Explain explains a placement.
+	// Explain returns the placement decision for a query and the reasons for it.
 	Explain(context.Context, core.ExplainQuery) (core.Explanation, error)
-	// Ready tells whether new requests are wanted.
+	// Ready reports whether the instance accepts new requests.
 	Ready(context.Context) (bool, error)
-	// Drain begins the graceful shutdown.
+	// Drain starts the graceful shutdown.
 	Drain()
 }
 
-// NewServer returns the server of an instance's interface.
+// NewServer returns a server for all endpoints of an instance.
 func NewServer(instance Instance, gatherer prometheus.Gatherer) *http.Server {
 	h := &handler{instance: instance}
-	answers, probes := make(slots, maxAnswers), make(slots, maxProbes)
+	requests, probes := make(slots, maxAnswers), make(slots, maxProbes)
 	mux := http.NewServeMux()
-	mux.Handle("GET "+PathMetrics, answers.bound(promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{})))
+	mux.Handle("GET "+PathMetrics, requests.bound(promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{})))
 	mux.Handle("GET "+PathHealth, probes.bound(http.HandlerFunc(h.health)))
 	mux.Handle("GET "+PathReady, probes.bound(http.HandlerFunc(h.ready)))
-	mux.Handle("GET "+PathStatus, answers.bound(http.HandlerFunc(h.status)))
-	mux.Handle("GET "+PathExplain, answers.bound(http.HandlerFunc(h.explain)))
+	mux.Handle("GET "+PathStatus, requests.bound(http.HandlerFunc(h.status)))
+	mux.Handle("GET "+PathExplain, requests.bound(http.HandlerFunc(h.explain)))
 	mux.Handle("POST "+PathDrain, probes.bound(http.HandlerFunc(h.drain)))
-	// A page in an operator's browser must not be able to drain an instance.
+	// A web page open in an operator's browser must not be able to drain an instance.
 	return newServer(http.NewCrossOriginProtection().Handler(mux))
 }
 
-// NewReadyServer returns a server that answers readiness and nothing else.
+// NewReadyServer returns a server that has only the readiness endpoint.
 func NewReadyServer(instance Instance) *http.Server {
 	h := &handler{instance: instance}
 	mux := http.NewServeMux()
@@ -92,11 +94,11 @@
 	instance Instance
 }
 
-// slots bounds the requests that are served at once.
+// slots is a semaphore that limits concurrent requests.
 type slots chan struct{}
 
-// bound refuses what is more than may be served at once, and bounds the wait for
-// the core.
+// bound wraps a handler: it refuses requests over the limit and sets the timeout for calls
+// to the core.
 func (s slots) bound(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -133,27 +135,27 @@
 }
 
 func (h *handler) status(w http.ResponseWriter, r *http.Request) {
-	s, err := h.instance.Status(r.Context())
-	writeJSON(w, s, err)
+	status, err := h.instance.Status(r.Context())
+	writeJSON(w, status, err)
 }
 
 func (h *handler) explain(w http.ResponseWriter, r *http.Request) {
-	q := core.ExplainQuery{
+	query := core.ExplainQuery{
 		Service:  r.FormValue("service"),
 		Customer: r.FormValue("customer"),
 		Chat:     r.FormValue("chat"),
 		Hint:     r.FormValue("hint"),
 	}
-	if q.Service == "" {
+	if query.Service == "" {
 		http.Error(w, "expected ?service=, and usually customer= and chat=", http.StatusBadRequest)
 		return
 	}
-	x, err := h.instance.Explain(r.Context(), q)
-	writeJSON(w, x, err)
+	explanation, err := h.instance.Explain(r.Context(), query)
+	writeJSON(w, explanation, err)
 }
 
 func (h *handler) drain(w http.ResponseWriter, _ *http.Request) {
-	klog.InfoS("drain ordered")
+	klog.InfoS("drain requested")
 	h.instance.Drain()
 	w.WriteHeader(http.StatusAccepted)
 	writeText(w, "draining\n")
@@ -166,7 +168,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		klog.V(1).InfoS("admin answer not written", "err", err)
+		klog.V(1).InfoS("failed to write admin response", "err", err)
 	}
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -74,7 +74,7 @@
 	call := serve(t, f, m)
 
 	code, _ := call(http.MethodGet, admin.PathHealth)
-	require.Equal(t, http.StatusOK, code, "alive although not ready")
+	require.Equal(t, http.StatusOK, code, "healthy although not ready")
 	code, _ = call(http.MethodGet, admin.PathReady)
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	f.ready = true
@@ -103,21 +103,21 @@
 	}
 
 	code, _ = call(http.MethodGet, admin.PathDrain)
-	require.Equal(t, http.StatusMethodNotAllowed, code, "a page that is only read must not stop an instance")
+	require.Equal(t, http.StatusMethodNotAllowed, code, "a GET request must not drain an instance")
 	code, _ = call(http.MethodPost, admin.PathDrain)
 	require.Equal(t, http.StatusAccepted, code)
 	<-f.drained
 }
 
-// TestForeignPageCannotDrain is an operator's browser that shows a page of somebody
-// else's, which posts to the instance on the same machine.
+// TestForeignPageCannotDrain guards against cross-site requests: a third-party page in an
+// operator's browser posts a drain request to the instance on the same machine.
 func TestForeignPageCannotDrain(t *testing.T) {
 	f := &fakeInstance{drained: make(chan struct{})}
 	req := httptest.NewRequest(http.MethodPost, admin.PathDrain, nil)
 	req.Header.Set("Sec-Fetch-Site", "cross-site")
-	answer := httptest.NewRecorder()
-	admin.NewServer(f, metrics.New().Gatherer()).Handler.ServeHTTP(answer, req)
-	require.Equal(t, http.StatusForbidden, answer.Code)
+	recorder := httptest.NewRecorder()
+	admin.NewServer(f, metrics.New().Gatherer()).Handler.ServeHTTP(recorder, req)
+	require.Equal(t, http.StatusForbidden, recorder.Code)
 	select {
 	case <-f.drained:
 		t.Fatal("drained")
@@ -125,11 +125,10 @@
 	}
 }
 
-// TestStuckCore is an instance whose core no longer answers.
-//
-// The balancer goes on sending it requests and each of them hangs. The health and
-// readiness checks must fail within their bound instead of hanging too, and the
-// metrics must still be served.
+// TestStuckCore guards against health checks that hang when the core no longer responds.
+// The load balancer would keep sending requests to the instance, and each would hang.
+// Health and readiness checks must fail within their timeout, and metrics must still be
+// served.
 func TestStuckCore(t *testing.T) {
 	call := serve(t, &fakeInstance{ready: true, stuck: true}, metrics.New())
 	for _, path := range []string{admin.PathHealth, admin.PathReady, admin.PathStatus} {
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -1,5 +1,5 @@
-// Package edit writes the operators' text to the platform's store and tells
-// truthfully what became of the write.
+// Package edit writes the operators' configuration to the platform's store and reports
+// whether the write took effect.
 package edit
 
 import (
@@ -14,53 +14,51 @@
 	"github.com/ebonydyke/ebonydyke/internal/store"
 )
 
-// Ends of an edit that did not come into the store.
+// Errors for an edit that is not, or not certainly, in the store.
 var (
-	// ErrLostRace means that another edit came first and nothing was written.
+	// ErrLostRace means that another edit was written first and nothing was written.
 	ErrLostRace = errors.New("lost the race")
-	// ErrUnknown means that the text may or may not be in the store.
+	// ErrUnknown means that the edit may or may not have been written.
 	ErrUnknown = errors.New("outcome unknown")
-	// ErrStoreWentBack means that instances have a higher generation in force than
-	// the store holds, and nothing was written.
+	// ErrStoreWentBack means that the store returned to an older state: instances have a
+	// higher generation in force than it holds. Nothing was written.
 	ErrStoreWentBack = errors.New("the store went back")
 )
 
-// retryDelay is how long a write whose answer was lost waits before it is tried
-// again.
+// retryDelay is the delay before a write whose response was lost is retried.
 const retryDelay = 200 * time.Millisecond
 
-// Edit is one change of the operators' text.
+// Edit is one change of the operators' configuration.
 type Edit struct {
-	// ID identifies the edit. It must be new for each.
+	// ID identifies the edit. It must be unique.
 	ID string
-	// Text is the new text, which has passed its check.
+	// Text is the new configuration text. It must be valid.
 	Text string
-	// Base is the generation that the text was based on, or nil for the newest.
+	// Base is the generation that the edit is based on, or nil for the newest.
 	Base *uint64
-	// InForce is the highest generation in force on the instances that were asked.
+	// InForce is the highest generation known to be in force on an instance, or 0.
 	InForce uint64
 }
 
-// Read returns what the store holds and its version. A store without a text
-// gives generation 0.
+// Read returns the stored configuration and its version in the store. If the store has no
+// configuration, the generation is 0.
 func Read(ctx context.Context, s store.Store) (config.Envelope, uint64, error) {
-	var env config.Envelope
+	var envelope config.Envelope
 	value, version, err := s.Get(ctx, core.ConfigKey)
 	if errors.Is(err, store.ErrAbsent) {
-		return env, 0, nil
+		return envelope, 0, nil
 	}
 	if err != nil {
-		return env, 0, fmt.Errorf("read the store: %w", err)
+		return envelope, 0, fmt.Errorf("read the store: %w", err)
 	}
-	if err := json.Unmarshal(value, &env); err != nil {
-		return env, 0, fmt.Errorf("read the store: value of %s: %w", core.ConfigKey, err)
+	if err := json.Unmarshal(value, &envelope); err != nil {
+		return envelope, 0, fmt.Errorf("read the store: value of %s: %w", core.ConfigKey, err)
 	}
-	return env, version, nil
+	return envelope, version, nil
 }
 
-// Apply writes the edit over the generation it is based on and returns the
-// generation that it got. Other errors than this package's mean that nothing was
-// written.
+// Apply replaces the generation that the edit is based on and returns the edit's generation.
+// Errors other than those of this package mean that nothing was written.
 func Apply(ctx context.Context, s store.Store, e Edit) (uint64, error) {
 	stored, version, err := Read(ctx, s)
 	if err != nil {
@@ -69,21 +67,21 @@
 	if err := e.mayFollow(stored); err != nil {
 		return 0, err
 	}
-	env := config.Envelope{
-		// Instances never take a lower generation than they have, so a store that
-		// went back must be written past the highest of them.
+	envelope := config.Envelope{
+		// Instances ignore generations below their own. After the store returned to an
+		// older state, the new generation must exceed the highest one in force.
 		Generation: max(stored.Generation, e.InForce) + 1,
 		Edit:       e.ID,
 		Text:       e.Text,
 	}
-	value, err := json.Marshal(env)
+	value, err := json.Marshal(envelope)
 	if err != nil {
 		return 0, fmt.Errorf("encode: %w", err)
 	}
-	return env.Generation, e.write(ctx, s, version, value)
+	return envelope.Generation, e.write(ctx, s, version, value)
 }
 
-// mayFollow tells whether the edit may be written over what the store holds.
+// mayFollow returns an error if the edit must not replace the stored configuration.
 func (e Edit) mayFollow(stored config.Envelope) error {
 	newest := max(stored.Generation, e.InForce)
 	if e.Base != nil && *e.Base != newest {
@@ -96,47 +94,47 @@
 	return nil
 }
 
-// write swaps the value in.
+// write writes the value with a compare-and-swap on the version.
 //
-// A write may take effect although its answer is lost, and may still be under way
-// when the store is read back unchanged. So an unclear write is not judged by
-// reading: it is sent again, the same value over the same version. Whichever copy
-// comes first takes effect, the other meets a conflict, and only then does reading
-// back tell whose edit it was.
+// A write may take effect although its response is lost, and it may still be in flight when a
+// read returns the old value. Therefore a read cannot decide the outcome of such a write.
+// Instead the same value is written again over the same version: the first copy takes
+// effect and the other gets a conflict. After a conflict, a read shows which edit was
+// written.
 func (e Edit) write(ctx context.Context, s store.Store, version uint64, value []byte) error {
-	unclear := false
+	outcomeUnknown := false
 	for {
 		_, err := s.Swap(ctx, core.ConfigKey, version, value)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, store.ErrConflict):
-			return e.readBack(ctx, s, unclear)
-		case errors.Is(err, store.ErrNotDone) && !unclear:
+			return e.readBack(ctx, s, outcomeUnknown)
+		case errors.Is(err, store.ErrNotDone) && !outcomeUnknown:
 			return fmt.Errorf("write: nothing was written: %w", err)
 		}
-		unclear = true
+		outcomeUnknown = true
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w: the answer to the write was lost: %w", ErrUnknown, err)
+			return fmt.Errorf("%w: the response to the write was lost: %w", ErrUnknown, err)
 		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// readBack tells whose edit caused a conflict.
-func (e Edit) readBack(ctx context.Context, s store.Store, unclear bool) error {
+// readBack reads the store after a conflict and returns nil if this edit caused it.
+func (e Edit) readBack(ctx context.Context, s store.Store, outcomeUnknown bool) error {
 	stored, _, err := Read(ctx, s)
 	switch {
 	case err == nil && stored.Edit == e.ID:
 		return nil
-	case !unclear:
-		return fmt.Errorf("%w: edit %q (generation %d) came first", ErrLostRace, stored.Edit, stored.Generation)
+	case !outcomeUnknown:
+		return fmt.Errorf("%w: edit %q (generation %d) was written first", ErrLostRace, stored.Edit, stored.Generation)
 	case err != nil:
 		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	default:
-		// The lost write may have taken effect and been followed by this edit.
-		return fmt.Errorf("%w: the answer to the write was lost and the store now holds edit %q (generation %d)",
+		// The write may have taken effect before the stored edit replaced it.
+		return fmt.Errorf("%w: the response to the write was lost and the store now holds edit %q (generation %d)",
 			ErrUnknown, stored.Edit, stored.Generation)
 	}
 }
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -16,7 +16,7 @@
 
 var errLost = errors.New("connection reset")
 
-// fakeStore holds one key. Each Swap first takes the next of its faults.
+// fakeStore holds one key. Each Swap first applies the next of its faults.
 type fakeStore struct {
 	value   []byte
 	version uint64
@@ -62,7 +62,7 @@
 	s.value, s.version = value, s.version+1
 }
 
-// Faults of a write.
+// Faults that a write can meet.
 func answerLost(s *fakeStore, value []byte) (bool, error) {
 	s.put(value)
 	return true, errLost
@@ -86,12 +86,10 @@
 
 func base(g uint64) *uint64 { return &g }
 
-// TestOutcomeIsTold covers what an operator is told of an apply.
-//
-// The store takes a write and its answer is lost, or loses the write; another
-// operator's edit comes between; the store went back. An operator who is told
-// "accepted" for an edit that is not there, or "failed" for one that is, goes on
-// to do the wrong thing.
+// TestOutcomeIsTold checks the outcome that Apply reports when the response to a write or the
+// write itself is lost, when another operator's edit is written in between, and when the
+// store returned to an older state. If the outcome is wrong, "accepted" for an edit that is
+// not in the store or "failed" for one that is, the operator's next action is wrong too.
 func TestOutcomeIsTold(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -100,22 +98,22 @@
 		faults     []func(*fakeStore, []byte) (bool, error)
 		generation uint64
 		err        error
-		edited     bool
+		written    bool
 	}{
-		{name: "first text", generation: 1, edited: true},
-		{name: "next text", stored: 5, generation: 6, edited: true},
-		{name: "right base", stored: 5, edit: edit.Edit{Base: base(5)}, generation: 6, edited: true},
+		{name: "no stored configuration", generation: 1, written: true},
+		{name: "newest generation as base", stored: 5, generation: 6, written: true},
+		{name: "current base", stored: 5, edit: edit.Edit{Base: base(5)}, generation: 6, written: true},
 		{name: "old base", stored: 5, edit: edit.Edit{Base: base(4)}, err: edit.ErrLostRace},
-		{name: "other edit first", stored: 5, faults: faults(otherFirst), err: edit.ErrLostRace},
-		{name: "answer lost", stored: 5, faults: faults(answerLost), generation: 6, edited: true},
-		{name: "write lost", stored: 5, faults: faults(writeLost), generation: 6, edited: true},
-		{name: "write lost, then other", stored: 5, faults: faults(writeLost, otherFirst), err: edit.ErrUnknown},
-		{name: "answer lost, then other", stored: 5, faults: faults(answerLost, otherFirst), err: edit.ErrUnknown},
+		{name: "concurrent edit", stored: 5, faults: faults(otherFirst), err: edit.ErrLostRace},
+		{name: "response lost", stored: 5, faults: faults(answerLost), generation: 6, written: true},
+		{name: "write lost", stored: 5, faults: faults(writeLost), generation: 6, written: true},
+		{name: "write lost, then concurrent edit", stored: 5, faults: faults(writeLost, otherFirst), err: edit.ErrUnknown},
+		{name: "response lost, then concurrent edit", stored: 5, faults: faults(answerLost, otherFirst), err: edit.ErrUnknown},
 		{name: "not sent", stored: 5, faults: faults(notSent), err: store.ErrNotDone},
-		{name: "not sent after lost", stored: 5, faults: faults(answerLost, notSent), generation: 6, edited: true},
-		{name: "store went back", stored: 3, edit: edit.Edit{InForce: 5}, err: edit.ErrStoreWentBack},
-		{name: "store went back, known", stored: 3, edit: edit.Edit{InForce: 5, Base: base(5)}, generation: 6, edited: true},
-		{name: "store emptied, known", edit: edit.Edit{InForce: 5, Base: base(5)}, generation: 6, edited: true},
+		{name: "response lost, then not sent", stored: 5, faults: faults(answerLost, notSent), generation: 6, written: true},
+		{name: "store at an older generation", stored: 3, edit: edit.Edit{InForce: 5}, err: edit.ErrStoreWentBack},
+		{name: "store at an older generation, base in force", stored: 3, edit: edit.Edit{InForce: 5, Base: base(5)}, generation: 6, written: true},
+		{name: "store empty, base in force", edit: edit.Edit{InForce: 5, Base: base(5)}, generation: 6, written: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &fakeStore{}
@@ -132,7 +130,7 @@
 			if s.value != nil {
 				require.NoError(t, json.Unmarshal(s.value, &env))
 			}
-			require.Equal(t, c.edited, env.Edit == "mine")
+			require.Equal(t, c.written, env.Edit == "mine")
 		})
 	}
 }
@@ -141,8 +139,8 @@
 	return f
 }
 
-// TestUnreachableStaysUnknown loses every answer until the operator's patience
-// ends: the tool must not guess.
+// TestUnreachableStaysUnknown loses every write until the timeout: Apply must retry and then
+// report an unknown outcome instead of guessing.
 func TestUnreachableStaysUnknown(t *testing.T) {
 	s := storeWith(t, 5)
 	for range 100 {
--- a/internal/jsonc/decode.go
+++ b/internal/jsonc/decode.go
@@ -10,94 +10,94 @@
 	"github.com/tailscale/hujson"
 )
 
-// Decode sets the struct that into points to. Fields are matched by their json
-// tags, exactly. What does not fit is added to the findings and left as it was.
-func (d *Document) Decode(into any) {
-	d.decode(d.root, reflect.ValueOf(into).Elem())
+// Decode decodes the document into the struct that target points to. Fields are matched by
+// their json tags, case-sensitively. A value that does not fit its field adds a finding.
+func (d *Document) Decode(target any) {
+	d.decode(d.root, reflect.ValueOf(target).Elem())
 }
 
-func (d *Document) decode(value hujson.Value, into reflect.Value) {
-	if u, ok := into.Addr().Interface().(json.Unmarshaler); ok {
+func (d *Document) decode(value hujson.Value, target reflect.Value) {
+	if u, ok := target.Addr().Interface().(json.Unmarshaler); ok {
 		d.unmarshal(value, u)
 		return
 	}
-	switch into.Kind() {
+	switch target.Kind() {
 	case reflect.Struct:
-		d.decodeStruct(value, into)
+		d.decodeStruct(value, target)
 	case reflect.Slice:
-		d.decodeSlice(value, into)
+		d.decodeSlice(value, target)
 	case reflect.Pointer:
-		into.Set(reflect.New(into.Type().Elem()))
-		d.decode(value, into.Elem())
+		target.Set(reflect.New(target.Type().Elem()))
+		d.decode(value, target.Elem())
 	default:
-		d.decodeLiteral(value, into)
+		d.decodeLiteral(value, target)
 	}
 }
 
-func (d *Document) unmarshal(value hujson.Value, into json.Unmarshaler) {
+func (d *Document) unmarshal(value hujson.Value, target json.Unmarshaler) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok {
 		d.mismatch(value, "a single value")
 		return
 	}
-	if err := into.UnmarshalJSON(literal); err != nil {
+	if err := target.UnmarshalJSON(literal); err != nil {
 		d.misfit(value, err.Error())
 	}
 }
 
-func (d *Document) decodeStruct(value hujson.Value, into reflect.Value) {
+func (d *Document) decodeStruct(value hujson.Value, target reflect.Value) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
 		d.mismatch(value, "an object")
 		return
 	}
-	fields := d.fieldsOf(into.Type())
-	seen := make([]bool, into.NumField())
+	fields := d.fieldsOf(target.Type())
+	seen := make([]bool, target.NumField())
 	for _, m := range object.Members {
 		name := nameOf(m)
 		index, known := fields[name]
 		switch {
 		case !known:
-			d.addAt(m.Name.StartOffset, fmt.Sprintf("unknown field %q, expected %s", name, namesOf(into.Type())))
+			d.addAt(m.Name.StartOffset, fmt.Sprintf("unknown field %q, expected %s", name, namesOf(target.Type())))
 		case seen[index]:
 			d.addAt(m.Name.StartOffset, fmt.Sprintf("field %q stands twice, expected once", name))
 		default:
 			seen[index] = true
-			d.decode(m.Value, into.Field(index))
+			d.decode(m.Value, target.Field(index))
 		}
 	}
 }
 
-func (d *Document) decodeSlice(value hujson.Value, into reflect.Value) {
+func (d *Document) decodeSlice(value hujson.Value, target reflect.Value) {
 	array, ok := value.Value.(*hujson.Array)
 	if !ok {
 		d.mismatch(value, "a list")
 		return
 	}
-	into.Set(reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements)))
+	target.Set(reflect.MakeSlice(target.Type(), len(array.Elements), len(array.Elements)))
 	for i, element := range array.Elements {
-		d.decode(element, into.Index(i))
+		d.decode(element, target.Index(i))
 	}
 }
 
-func (d *Document) decodeLiteral(value hujson.Value, into reflect.Value) {
+func (d *Document) decodeLiteral(value hujson.Value, target reflect.Value) {
 	literal, _ := value.Value.(hujson.Literal)
 	expected, kind := "text in quotes", hujson.Kind('"')
 	switch {
-	case into.Kind() == reflect.Bool:
+	case target.Kind() == reflect.Bool:
 		expected, kind = "true or false", 't'
-	case into.CanFloat():
+	case target.CanFloat():
 		expected, kind = "a number", '0'
-	case into.CanInt():
+	case target.CanInt():
 		expected, kind = "a whole number", '0'
-	case into.CanUint():
+	case target.CanUint():
 		expected, kind = "a whole number not below 0", '0'
 	}
 	if literal == nil || !sameKind(literal.Kind(), kind) {
 		d.mismatch(value, expected)
 		return
 	}
-	if !setLiteral(literal, into) {
+	if !setLiteral(literal, target) {
 		d.misfit(value, fmt.Sprintf("expected %s, found %s", expected, literal))
 	}
 }
@@ -106,24 +106,25 @@
 	return found == expected || found == 'f' && expected == 't'
 }
 
-// setLiteral tells whether the literal, of the right kind, fits the field.
-func setLiteral(literal hujson.Literal, into reflect.Value) bool {
+// setLiteral assigns a literal of the right kind to a field and reports whether its value
+// fits.
+func setLiteral(literal hujson.Literal, target reflect.Value) bool {
 	switch {
-	case into.Kind() == reflect.Bool:
-		into.SetBool(literal.Bool())
-	case into.Kind() == reflect.String:
-		into.SetString(textOf(literal))
-	case into.CanFloat():
+	case target.Kind() == reflect.Bool:
+		target.SetBool(literal.Bool())
+	case target.Kind() == reflect.String:
+		target.SetString(textOf(literal))
+	case target.CanFloat():
 		v, err := strconv.ParseFloat(string(literal), 64)
-		into.SetFloat(v)
+		target.SetFloat(v)
 		return err == nil
-	case into.CanInt():
-		v, err := strconv.ParseInt(string(literal), 10, into.Type().Bits())
-		into.SetInt(v)
+	case target.CanInt():
+		v, err := strconv.ParseInt(string(literal), 10, target.Type().Bits())
+		target.SetInt(v)
 		return err == nil
-	case into.CanUint():
-		v, err := strconv.ParseUint(string(literal), 10, into.Type().Bits())
-		into.SetUint(v)
+	case target.CanUint():
+		v, err := strconv.ParseUint(string(literal), 10, target.Type().Bits())
+		target.SetUint(v)
 		return err == nil
 	default:
 		return false
@@ -139,12 +140,12 @@
 	d.misfit(value, fmt.Sprintf("expected %s, found %s", expected, found))
 }
 
-func (d *Document) misfit(value hujson.Value, what string) {
+func (d *Document) misfit(value hujson.Value, message string) {
 	d.misfits[value.StartOffset] = true
-	d.addAt(value.StartOffset, what)
+	d.addAt(value.StartOffset, message)
 }
 
-// fieldsOf maps the json names of a struct's fields to their indexes.
+// fieldsOf returns the indexes of a struct's fields by JSON name.
 func (d *Document) fieldsOf(t reflect.Type) map[string]int {
 	if fields := d.fields[t]; fields != nil {
 		return fields
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -1,8 +1,8 @@
-// Package jsonc decodes JSON with comments strictly into typed structs.
+// Package jsonc strictly decodes JSON with comments into typed structs.
 //
-// Everything wrong with a text is collected with its place and reported
-// together: syntax, unknown fields, duplicate fields and wrong types here, and
-// what a caller's own checks add by path. It does no input or output.
+// It collects all errors of a document with their positions and reports them together:
+// unknown fields, duplicate fields, wrong types, and the findings that a caller's own
+// validation adds by path. A syntax error is reported alone. The package does no I/O.
 package jsonc
 
 import (
@@ -17,34 +17,34 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxFindings bounds the findings kept of one text; the rest are only counted,
-// so that a hostile text cannot fill logs and status pages.
+// MaxFindings limits the findings kept for one document. Further ones are only counted, so
+// that a malicious document cannot flood logs and status pages.
 const MaxFindings = 100
 
-// MaxDepth bounds the nesting of a text.
+// MaxDepth is the maximum nesting depth of a document.
 const MaxDepth = 64
 
-// Document is one parsed text and what is wrong with it.
+// Document is a parsed document and its findings.
 type Document struct {
 	file     string
 	text     []byte
 	root     hujson.Value
 	findings Findings
 	omitted  int
-	// misfits are the offsets of values that could not be decoded.
+	// misfits holds the offsets of the values that could not be decoded.
 	misfits map[int]bool
-	// fields are the fields of each struct type by their json names.
+	// fields caches for each struct type the indexes of its fields by JSON name.
 	fields map[reflect.Type]map[string]int
 }
 
-// Parse reads a text. A text that is not JSON with comments gives its first
-// syntax error as Findings.
+// Parse parses a document. If it is not valid JSON with comments, the error is a Findings
+// with the first syntax error.
 func Parse(file string, text []byte) (*Document, error) {
 	d := &Document{file: file, text: text, misfits: make(map[int]bool), fields: make(map[reflect.Type]map[string]int)}
-	// The parser calls itself for each level: a megabyte of opening brackets
-	// would exhaust the stack, which no recover can catch.
-	if at := tooDeep(text); at >= 0 {
-		d.addAt(at, fmt.Sprintf("nested deeper than %d levels", MaxDepth))
+	// The parser recurses for each nesting level. A megabyte of opening brackets would
+	// overflow the stack, and recover cannot catch that.
+	if offset := tooDeep(text); offset >= 0 {
+		d.addAt(offset, fmt.Sprintf("nested deeper than %d levels", MaxDepth))
 		return nil, d.Err()
 	}
 	root, err := hujson.Parse(text)
@@ -55,7 +55,7 @@
 	return d, nil
 }
 
-// syntaxFinding takes the place out of the parser's message.
+// syntaxFinding converts a parser error to a finding, with the position from its message.
 func syntaxFinding(file string, err error) Finding {
 	f := Finding{File: file, Line: 1, Column: 1, What: err.Error()}
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &f.Line, &f.Column); scanErr == nil {
@@ -64,22 +64,22 @@
 	return f
 }
 
-// Add records a finding at a path such as services[2].depends_on[0]. A path that
-// the text lacks is reported at its nearest ancestor in the text. A value that
-// could not be decoded has its finding already and gets no second one.
+// Add adds a finding at a path such as services[2].depends_on[0]. If the document has no
+// value at the path, the finding gets the position of the nearest ancestor that exists. A
+// value that could not be decoded already has a finding and gets no second one.
 func (d *Document) Add(path, format string, args ...any) {
 	if len(d.findings) >= MaxFindings {
 		d.omitted++
 		return
 	}
-	value, whole := d.find(path)
-	if whole && d.misfits[value.StartOffset] {
+	value, found := d.find(path)
+	if found && d.misfits[value.StartOffset] {
 		return
 	}
 	d.addAt(value.StartOffset, fmt.Sprintf(format, args...))
 }
 
-// Err returns the findings in the order of the text, or nil.
+// Err returns the findings in document order, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.findings) == 0 {
 		return nil
@@ -93,25 +93,25 @@
 	return sorted
 }
 
-// Place returns the line and column, from 1, of the value at a path.
+// Place returns the 1-based line and column of the value at a path.
 func (d *Document) Place(path string) (line, column int) {
 	value, _ := d.find(path)
 	return d.place(value.StartOffset)
 }
 
-// Has tells whether the text has a value at a path.
+// Has reports whether the document has a value at a path.
 func (d *Document) Has(path string) bool {
-	_, whole := d.find(path)
-	return whole
+	_, found := d.find(path)
+	return found
 }
 
-func (d *Document) addAt(offset int, what string) {
+func (d *Document) addAt(offset int, message string) {
 	if len(d.findings) >= MaxFindings {
 		d.omitted++
 		return
 	}
 	line, column := d.place(offset)
-	d.findings = append(d.findings, Finding{File: d.file, Line: line, Column: column, What: what})
+	d.findings = append(d.findings, Finding{File: d.file, Line: line, Column: column, What: message})
 }
 
 func (d *Document) place(offset int) (line, column int) {
@@ -119,13 +119,13 @@
 	return 1 + bytes.Count(before, []byte("\n")), offset - bytes.LastIndexByte(before, '\n')
 }
 
-// find returns the value at a path, or its nearest ancestor in the text, and
-// whether the path was followed to its end.
-func (d *Document) find(path string) (value hujson.Value, whole bool) {
+// find returns the value at a path, or the nearest ancestor that exists. It reports in found
+// whether the value itself exists.
+func (d *Document) find(path string) (value hujson.Value, found bool) {
 	value = d.root
 	for path != "" {
-		step, rest := nextStep(path)
-		child, ok := childOf(value, step)
+		segment, rest := nextStep(path)
+		child, ok := childOf(value, segment)
 		if !ok {
 			return value, false
 		}
@@ -134,9 +134,8 @@
 	return value, true
 }
 
-// nextStep splits the first step off a path: a field's name, or an index in
-// brackets.
-func nextStep(path string) (step, rest string) {
+// nextStep splits off the first segment of a path: a field name, or an index in brackets.
+func nextStep(path string) (segment, rest string) {
 	path = strings.TrimPrefix(path, ".")
 	if strings.HasPrefix(path, "[") {
 		end := strings.IndexByte(path, ']')
@@ -149,16 +148,16 @@
 	return path[:end], path[end:]
 }
 
-func childOf(value hujson.Value, step string) (hujson.Value, bool) {
+func childOf(value hujson.Value, segment string) (hujson.Value, bool) {
 	switch v := value.Value.(type) {
 	case *hujson.Object:
 		for _, m := range v.Members {
-			if nameOf(m) == step {
+			if nameOf(m) == segment {
 				return m.Value, true
 			}
 		}
 	case *hujson.Array:
-		i, err := strconv.Atoi(strings.Trim(step, "[]"))
+		i, err := strconv.Atoi(strings.Trim(segment, "[]"))
 		if err == nil && i >= 0 && i < len(v.Elements) {
 			return v.Elements[i], true
 		}
@@ -170,7 +169,7 @@
 	return textOf(m.Name.Value.(hujson.Literal))
 }
 
-// textOf returns the text of a string literal. Most have nothing to unescape.
+// textOf returns the value of a string literal. Most literals need no unescaping.
 func textOf(literal hujson.Literal) string {
 	inner := literal[1 : len(literal)-1]
 	for _, c := range inner {
@@ -181,8 +180,8 @@
 	return string(inner)
 }
 
-// tooDeep returns the offset of the first bracket that is nested too deep, or -1.
-// Brackets in strings and comments do not count.
+// tooDeep returns the offset of the first bracket that exceeds MaxDepth, or -1. It ignores
+// brackets in strings and comments.
 func tooDeep(text []byte) int {
 	depth := 0
 	for i := 0; i < len(text); i++ {
@@ -202,7 +201,7 @@
 	return -1
 }
 
-// stringEnd returns the offset of the closing quote of the string that opens at i.
+// stringEnd returns the offset of the closing quote of the string that starts at i.
 func stringEnd(text []byte, i int) int {
 	for i++; i < len(text) && text[i] != '"'; i++ {
 		if text[i] == '\\' {
@@ -212,8 +211,8 @@
 	return i
 }
 
-// commentEnd returns the offset of the last byte of the comment that opens at i,
-// or i if none does.
+// commentEnd returns the offset of the last byte of the comment that starts at i, or i if
+// there is no comment.
 func commentEnd(text []byte, i int) int {
 	closing := []byte("\n")
 	switch {
--- a/internal/jsonc/finding.go
+++ b/internal/jsonc/finding.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Finding is one thing wrong with a text, at its place.
+// Finding is one error in a document, with its position.
 type Finding struct {
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
-	// What is wrong, and what was expected.
+	// What describes the error and the expected value.
 	What string `json:"what"`
 }
 
-// String gives the finding as file:line:column: what.
+// String formats the finding as file:line:column: what.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.What)
 }
 
-// Findings is every finding of one text, reported together.
+// Findings holds all findings of one document.
 type Findings []Finding
 
-// Error joins the findings, one a line.
+// Error returns the findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -32,7 +32,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted returns the findings in the order of the text.
+// sorted sorts the findings in document order and returns them.
 func (f Findings) sorted() Findings {
 	slices.SortStableFunc(f, func(a, b Finding) int {
 		if a.Line != b.Line {
--- a/internal/jsonc/jsonc_test.go
+++ b/internal/jsonc/jsonc_test.go
@@ -41,8 +41,8 @@
 	}, o)
 }
 
-// TestFindingsTogether gives every finding of a text in one report, in the order
-// of the text, whoever found it.
+// TestFindingsTogether checks that all findings are reported together in document order,
+// whether the decoder or the caller added them.
 func TestFindingsTogether(t *testing.T) {
 	d, err := jsonc.Parse("f", []byte(`{
   "count": 1.5,
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Direction tells what an instance sent from what it received.
+// Direction is the direction of control traffic as seen from this instance.
 type Direction string
 
 // The directions of control traffic.
@@ -11,28 +11,29 @@
 	Received Direction = "received"
 )
 
-// Traffic is the control traffic of one kind in one direction since the start.
+// Traffic is the control traffic of one kind in one direction since the process started.
 type Traffic struct {
 	Kind      string
 	Direction Direction
 	Messages  uint64
-	// Bytes are those on the connection, framing included.
+	// Bytes are the bytes on the connection, including framing.
 	Bytes uint64
 }
 
-// Control is what an instance exchanged with its peers since its start.
+// Control holds the counters of the traffic with peers since the process started.
 type Control struct {
 	Traffic []Traffic
-	// Dropped counts messages that found no link or a full queue, by kind.
+	// Dropped counts by kind the messages that had no link to the peer or met a full queue.
 	Dropped map[string]uint64
-	// Strangers counts connections that were no peer's.
+	// Strangers counts connections rejected before they identified themselves as a peer of
+	// this fleet.
 	Strangers uint64
-	// BadFrames counts links ended because of bytes that are no frame.
+	// BadFrames counts links closed because of bytes that are not a valid frame.
 	BadFrames uint64
 }
 
-// control reads the counters of the links at each scrape, so that the links need
-// not know of metrics and count on their own side of the lock.
+// control is a collector that reads the counters of the links at each scrape. The links
+// therefore do not depend on this package and update their counters without its locks.
 type control struct {
 	read     func() Control
 	bytes    *prometheus.Desc
@@ -41,14 +42,14 @@
 	rejected *prometheus.Desc
 }
 
-// ReadControl reads the control traffic with f at each scrape.
+// ReadControl registers metrics of the control traffic. They are read from f at each scrape.
 func (m *Metrics) ReadControl(f func() Control) {
 	m.registry.MustRegister(&control{
 		read:     f,
-		bytes:    prometheus.NewDesc("ebonydyke_control_bytes_total", "Bytes exchanged with peers, framing included.", []string{"kind", "direction"}, nil),
+		bytes:    prometheus.NewDesc("ebonydyke_control_bytes_total", "Bytes exchanged with peers, including framing.", []string{"kind", "direction"}, nil),
 		messages: prometheus.NewDesc("ebonydyke_control_messages_total", "Messages exchanged with peers.", []string{"kind", "direction"}, nil),
-		dropped:  prometheus.NewDesc("ebonydyke_control_dropped_total", "Messages to peers that found no link or a full queue.", []string{"kind"}, nil),
-		rejected: prometheus.NewDesc("ebonydyke_control_rejected_total", "Connections rejected at the peers' port.", []string{"why"}, nil),
+		dropped:  prometheus.NewDesc("ebonydyke_control_dropped_total", "Messages to peers dropped because of a missing link or a full queue.", []string{"kind"}, nil),
+		rejected: prometheus.NewDesc("ebonydyke_control_rejected_total", "Connections rejected on the peer port, by cause.", []string{"why"}, nil),
 	})
 }
 
@@ -62,15 +63,15 @@
 
 // Collect implements prometheus.Collector.
 func (c *control) Collect(out chan<- prometheus.Metric) {
-	now := c.read()
-	for _, t := range now.Traffic {
+	stats := c.read()
+	for _, t := range stats.Traffic {
 		labels := []string{t.Kind, string(t.Direction)}
 		out <- prometheus.MustNewConstMetric(c.bytes, prometheus.CounterValue, float64(t.Bytes), labels...)
 		out <- prometheus.MustNewConstMetric(c.messages, prometheus.CounterValue, float64(t.Messages), labels...)
 	}
-	for kind, n := range now.Dropped {
+	for kind, n := range stats.Dropped {
 		out <- prometheus.MustNewConstMetric(c.dropped, prometheus.CounterValue, float64(n), kind)
 	}
-	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(now.Strangers), "stranger")
-	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(now.BadFrames), "bad-frame")
+	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(stats.Strangers), "stranger")
+	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(stats.BadFrames), "bad-frame")
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the counters, gauges and histograms of one instance. The
-// words of their labels come from the typed lists that headers and logs use too.
+// Package metrics holds the counters, gauges and histograms of one instance. Label values
+// come from the typed constants that headers and logs also use.
 package metrics
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/ebonydyke/ebonydyke/internal/proxy"
 )
 
-// latencyBuckets are in seconds: 0.5 ms, about what an instance may add to an
-// answer, up to the longest deadlines.
+// latencyBuckets are in seconds. They range from 0.5 ms, about the latency that an instance
+// may add to a response, to the longest deadlines.
 var latencyBuckets = prometheus.ExponentialBucketsRange(0.0005, 300, 20)
 
-// Metrics are safe for use by many goroutines.
+// Metrics holds the metrics of one instance. Its methods are safe for concurrent use.
 type Metrics struct {
 	registry      *prometheus.Registry
 	refusals      *prometheus.CounterVec
@@ -31,21 +31,21 @@
 	core          *prometheus.CounterVec
 }
 
-// New returns metrics whose counters of reasons stand at zero, so that a rate can
-// be taken from the first of each on.
+// New returns metrics with every reason's counters initialised to zero, so that a rate over
+// them includes the first event.
 func New() *Metrics {
 	m := &Metrics{
 		registry:      prometheus.NewRegistry(),
-		refusals:      counters("refusals_total", "Final answers of the fleet's own, refusals and failures, by reason.", "reason"),
-		retries:       counters("retries_total", "Attempts beyond a request's first, by reason.", "reason"),
-		firstByte:     histograms("first_byte_seconds", "Time from a request's arrival to the first byte of its answer."),
-		whole:         histograms("answer_seconds", "Time from a request's arrival to the end of its whole answer."),
-		callerBytes:   prometheus.NewCounter(prometheus.CounterOpts{Name: "ebonydyke_caller_bytes_total", Help: "Bytes of answers' bodies sent to callers."}),
-		dials:         counters("backend_dials_total", "Connections to backend servers that were opened or tried, by reason.", "reason"),
-		generation:    gauge("generation", "Generation of the configuration in force, 0 for none."),
-		ready:         gauge("ready", "1 until the graceful shutdown begins, then 0."),
-		platformCalls: counters("platform_calls_total", "Calls on the platform by kind and result; a waiting watch is one.", "kind", "result"),
-		core:          counters("core_events_total", "What the core counts itself, such as messages that it shed.", "counter", "label"),
+		refusals:      counters("refusals_total", "Requests answered by the fleet itself, as refusals or failures, by reason.", "reason"),
+		retries:       counters("retries_total", "Attempts after the first of a request, by reason.", "reason"),
+		firstByte:     histograms("first_byte_seconds", "Time from the arrival of a request to the first byte of its response."),
+		whole:         histograms("answer_seconds", "Time from the arrival of a request to the end of its response."),
+		callerBytes:   prometheus.NewCounter(prometheus.CounterOpts{Name: "ebonydyke_caller_bytes_total", Help: "Bytes of response bodies sent to callers."}),
+		dials:         counters("backend_dials_total", "Attempts to open a connection to a backend server, by reason.", "reason"),
+		generation:    gauge("generation", "Generation of the configuration in force, 0 if there is none."),
+		ready:         gauge("ready", "1 until the graceful shutdown starts, then 0."),
+		platformCalls: counters("platform_calls_total", "Completed calls to the platform, by kind and result; a long-polling watch is one call.", "kind", "result"),
+		core:          counters("core_events_total", "Events counted by the core, such as messages that it shed.", "counter", "label"),
 	}
 	m.registry.MustRegister(
 		m.refusals, m.retries, m.firstByte, m.whole, m.callerBytes, m.dials, m.generation, m.ready,
@@ -77,38 +77,38 @@
 	}, []string{"service"})
 }
 
-// Gatherer gives the metrics to a handler.
+// Gatherer returns the gatherer of the metrics, for an HTTP handler.
 func (m *Metrics) Gatherer() prometheus.Gatherer { return m.registry }
 
-// InFlight reads the number of requests in progress with f at each scrape.
+// InFlight registers the gauge of requests in flight. It is read from f at each scrape.
 func (m *Metrics) InFlight(f func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "ebonydyke_requests_in_flight", Help: "Requests in progress at this instance.",
+		Name: "ebonydyke_requests_in_flight", Help: "Requests in flight at this instance.",
 	}, f))
 }
 
-// Refused counts a final answer of the fleet's own: a refusal or a failure.
+// Refused counts a request that the fleet itself answered, as a refusal or a failure.
 func (m *Metrics) Refused(r reason.Reason) { m.refusals.WithLabelValues(string(r)).Inc() }
 
-// Retried counts an attempt beyond a request's first.
+// Retried counts an attempt after the first of a request.
 func (m *Metrics) Retried(r reason.Reason) { m.retries.WithLabelValues(string(r)).Inc() }
 
-// Answered counts a whole answer and its time to the first byte and to the end.
-func (m *Metrics) Answered(service string, first, whole time.Duration) {
-	m.firstByte.WithLabelValues(service).Observe(first.Seconds())
-	m.whole.WithLabelValues(service).Observe(whole.Seconds())
+// Answered records the time to the first byte and to the end of a complete response.
+func (m *Metrics) Answered(service string, firstByte, total time.Duration) {
+	m.firstByte.WithLabelValues(service).Observe(firstByte.Seconds())
+	m.whole.WithLabelValues(service).Observe(total.Seconds())
 }
 
-// CallerBytes counts bytes of answers' bodies.
+// CallerBytes adds n to the bytes of response bodies sent to callers.
 func (m *Metrics) CallerBytes(n int) { m.callerBytes.Add(float64(n)) }
 
-// Dialled counts a connection to a backend server that was opened or tried.
+// Dialled counts an attempt to open a connection to a backend server.
 func (m *Metrics) Dialled(r proxy.DialReason) { m.dials.WithLabelValues(string(r)).Inc() }
 
 // Generation sets the generation of the configuration in force.
-func (m *Metrics) Generation(g uint64) { m.generation.Set(float64(g)) }
+func (m *Metrics) Generation(generation uint64) { m.generation.Set(float64(generation)) }
 
-// Ready says whether new requests are wanted.
+// Ready sets whether the instance accepts new requests.
 func (m *Metrics) Ready(ready bool) {
 	m.ready.Set(0)
 	if ready {
@@ -116,12 +116,12 @@
 	}
 }
 
-// PlatformCall counts a call on the platform that has ended.
+// PlatformCall counts a completed call to the platform.
 func (m *Metrics) PlatformCall(kind, result string) {
 	m.platformCalls.WithLabelValues(kind, result).Inc()
 }
 
-// Count adds to a counter of the core's.
+// Count adds n to a counter of the core.
 func (m *Metrics) Count(counter, label string, n int) {
 	m.core.WithLabelValues(counter, label).Add(float64(n))
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,8 +14,9 @@
 	"github.com/ebonydyke/ebonydyke/internal/metrics"
 )
 
-// TestMetricsAreDocumented compares what an instance exposes, once each counter
-// was used, with the table for operators.
+// TestMetricsAreDocumented checks that the table in the operators' documentation lists
+// exactly the metrics that an instance exposes. Each metric vector is used once first,
+// because it exposes nothing before.
 func TestMetricsAreDocumented(t *testing.T) {
 	m := metrics.New()
 	m.Refused(reason.Saturated)
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -19,11 +19,11 @@
 	"github.com/ebonydyke/ebonydyke/internal/settings"
 )
 
-var rewrite = flag.Bool("rewrite", false, "rewrite the tables of docs/SETTINGS.md on purpose")
+var rewrite = flag.Bool("rewrite", false, "rewrite the tables of docs/SETTINGS.md")
 
 const page = "../../docs/SETTINGS.md"
 
-// TestSettingsPage keeps the tables of the page the same as the types: names,
+// TestSettingsPage checks that the tables of the settings page match the types: the names,
 // defaults and doc comments of the fields.
 func TestSettingsPage(t *testing.T) {
 	text, err := os.ReadFile(page)
@@ -33,17 +33,17 @@
 	want = fillTable(t, want, "settings.go", defaults)
 	want = fillTable(t, want, "settings.go", defaults.Bounds)
 	want = fillTable(t, want, "settings.go", defaults.Limits)
-	filled := config.Defaults()
+	configDefaults := config.Defaults()
 	const types = "../core/config/types.go"
-	want = fillTable(t, want, types, filled)
-	want = fillTable(t, want, types, filled.Services[0])
+	want = fillTable(t, want, types, configDefaults)
+	want = fillTable(t, want, types, configDefaults.Services[0])
 	want = fillTable(t, want, types, config.BackendServer{})
 	want = fillTable(t, want, types, config.Engine{})
 	want = fillTable(t, want, types, config.Route{})
 	want = fillTable(t, want, types, config.Share{})
-	want = fillTable(t, want, types, filled.Customers[0])
-	want = fillTable(t, want, types, filled.Claims)
-	want = fillTable(t, want, types, filled.Limits)
+	want = fillTable(t, want, types, configDefaults.Customers[0])
+	want = fillTable(t, want, types, configDefaults.Claims)
+	want = fillTable(t, want, types, configDefaults.Limits)
 	if *rewrite {
 		require.NoError(t, os.WriteFile(page, []byte(want), 0o644))
 		return
@@ -51,15 +51,15 @@
 	require.Equal(t, want, string(text), "run go test ./internal/settings -rewrite")
 }
 
-// fillTable puts the table of a struct between the page's marks for it.
+// fillTable replaces the table of a struct between its begin and end markers in the page.
 func fillTable(t *testing.T, page, source string, value any) string {
 	t.Helper()
 	name := reflect.TypeOf(value).Name()
 	begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->"
 	before, rest, found := strings.Cut(page, begin)
-	require.True(t, found, "no table of %s", name)
+	require.True(t, found, "no begin marker for the table of %s", name)
 	_, after, found := strings.Cut(rest, end)
-	require.True(t, found, "no end of the table of %s", name)
+	require.True(t, found, "no end marker for the table of %s", name)
 	docs := fieldDocs(t, source, name)
 	table := "| field | default | meaning |\n|---|---|---|\n"
 	v := reflect.ValueOf(value)
@@ -83,7 +83,8 @@
 
 var space = regexp.MustCompile(`\s+`)
 
-// fieldDocs reads the doc comments of a struct's fields from its source.
+// fieldDocs returns the doc comments of a struct's fields by field name, read from the source
+// file.
 func fieldDocs(t *testing.T, source, name string) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), source, nil, parser.ParseComments)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the daemon's own settings: who it is and where it
-// listens. What the fleet does stands in the operators' text, not here.
+// Package settings reads the daemon's own settings: its identity, its addresses and its
+// limits. The behaviour of the fleet is defined in the operators' configuration instead.
 package settings
 
 import (
@@ -16,53 +16,56 @@
 
 // Settings are the daemon's own settings, in JSON with comments.
 type Settings struct {
-	// Name identifies the instance in the fleet; no two running instances may share one.
+	// Name identifies the instance. It must be unique among the running instances of the
+	// fleet.
 	Name string `json:"name"`
-	// Fleet is a name that all instances of a fleet share and no other fleet has;
-	// instances of another one are refused as peers.
+	// Fleet is the name of the fleet. It is the same on all its instances and differs from
+	// that of every other fleet. Instances with another value are refused as peers.
 	Fleet string `json:"fleet"`
-	// Zone is the availability zone that the instance stands in.
+	// Zone is the availability zone of the instance.
 	Zone string `json:"zone"`
-	// Region is the region of the zone; it may be left out where there is only one.
+	// Region is the region of the zone. It may be omitted if there is only one region.
 	Region string `json:"region"`
 	// Listen is the address for callers, as IP:port.
 	Listen string `json:"listen"`
-	// PeerListen is the address for the other instances, as IP:port. They connect
-	// to it as it stands here.
+	// PeerListen is the address for the other instances, as IP:port. It is advertised to
+	// them unchanged.
 	PeerListen string `json:"peer_listen"`
-	// AdminListen is the address for operators and metrics, as IP:port. Nothing on
-	// it asks who calls, so keep it on loopback or on a network of operators.
+	// AdminListen is the address for operators and metrics, as IP:port. It has no
+	// authentication, so keep it on loopback or on an operators' network.
 	AdminListen string `json:"admin_listen"`
-	// Dialect is how callers and backend servers speak: "native", the fleet's own
-	// interface, or "platform", that of the users' platform.
+	// Dialect is the protocol of callers and backend servers: "native", the fleet's own, or
+	// "platform", that of the users' platform.
 	Dialect Dialect `json:"dialect"`
-	// ReadyListen is an address that answers readiness alone, as IP:port, for a
-	// balancer that must not reach admin_listen; none if it is left out.
+	// ReadyListen is an address that serves only the readiness check, as IP:port, for a load
+	// balancer that must not reach admin_listen. If it is omitted, there is none.
 	ReadyListen string `json:"ready_listen"`
 	// Platform is the base URL of the platform's store.
 	Platform string `json:"platform"`
-	// PlatformSettle is how long after a trouble of the store its operators count on
-	// every instance's knowing what changed meanwhile.
+	// PlatformSettle is the time after a store failure within which every instance must know
+	// the changes made during the failure.
 	PlatformSettle config.Duration `json:"platform_settle"`
-	// Seeds are peer addresses, as IP:port, to ask for the configuration and the
-	// members when the platform is away at the start.
+	// Seeds are peer addresses, as IP:port, from which to get the configuration and the
+	// members if the platform is unavailable at startup.
 	Seeds []string `json:"seeds"`
-	// AcceptDelay is how long a stopping instance goes on accepting: longer than
-	// the balancer takes to notice that it is not ready.
+	// AcceptDelay is how long a stopping instance still accepts connections. It must exceed
+	// the time that the load balancer takes to detect that the instance is not ready.
 	AcceptDelay config.Duration `json:"accept_delay"`
-	// StopGrace is how long after a signal to stop the process is killed. What is
-	// still in progress shortly before is cut in order. 0 is no bound.
+	// StopGrace is the time between the stop signal and the kill of the process. Requests
+	// still in progress shortly before the kill are ended in an orderly way. 0 means no
+	// limit.
 	StopGrace config.Duration `json:"stop_grace"`
-	// Bounds are the promises that a configuration of the platform's own form does
-	// not hold.
+	// Bounds are the guarantees that a configuration in the platform's own format does not
+	// contain.
 	Bounds Bounds `json:"bounds"`
-	// Limits bound what callers and backend servers can take of the instance.
+	// Limits are the limits on the instance's resources that callers and backend servers can
+	// use.
 	Limits Limits `json:"limits"`
-	// LogVerbosity is the level of detail of the log, from 0 to 9.
+	// LogVerbosity is the log level, from 0 to 9; higher levels log more.
 	LogVerbosity int `json:"log_verbosity"`
 }
 
-// Dialect names an interface towards callers and backend servers.
+// Dialect names a protocol for callers and backend servers.
 type Dialect string
 
 // The dialects.
@@ -71,58 +74,61 @@
 	Platform Dialect = "platform"
 )
 
-// Bounds are the promises for services whose text does not hold them.
+// Bounds are the guarantees for services whose configuration does not contain them.
 type Bounds struct {
-	// SkewBound is the multiple of the mean load that no backend server may exceed.
+	// SkewBound is the guaranteed maximum load of a backend server as a multiple of the mean
+	// load, above 1.
 	SkewBound float64 `json:"skew_bound"`
-	// SkewSlack is the number of requests allowed beyond that multiple.
+	// SkewSlack is the number of requests permitted beyond that multiple.
 	SkewSlack int `json:"skew_slack"`
-	// RetryShare is the number of retries that one request earns.
+	// RetryShare is the number of retries that each request adds to the retry budget.
 	RetryShare float64 `json:"retry_share"`
-	// RetryBurst is the number of retries that the whole fleet may spend before any
-	// are earned. A platform that derives it from the fleet's size gives a fraction.
+	// RetryBurst is the number of retries that the whole fleet may make before requests add
+	// any to the budget. It may be a fraction, as from a platform that derives it from the
+	// size of the fleet.
 	RetryBurst float64 `json:"retry_burst"`
 }
 
-// Limits bound what callers and backend servers can take of one instance.
+// Limits are the limits on an instance's resources that callers and backend servers can use.
 type Limits struct {
-	// MaxConns is the largest number of callers' connections.
+	// MaxConns is the maximum number of connections from callers.
 	MaxConns int `json:"max_conns"`
-	// MaxBody is the largest request body, in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int `json:"max_body"`
-	// MaxHeader is the largest header of a request or an answer, in bytes.
+	// MaxHeader is the maximum size of a request or response header in bytes.
 	MaxHeader int `json:"max_header"`
-	// ReadTimeout bounds the reading of one whole request.
+	// ReadTimeout limits the time to read one complete request.
 	ReadTimeout config.Duration `json:"read_timeout"`
-	// CallerIdle is how long a caller's connection is kept without a request:
-	// longer than the balancer keeps its own idle connections.
+	// CallerIdle is how long an idle connection from a caller is kept open. It must be longer
+	// than the load balancer keeps its own idle connections.
 	CallerIdle config.Duration `json:"caller_idle"`
-	// WriteStall is how long a caller may take no byte of its answer.
+	// WriteStall is the maximum time during which a caller reads no byte of its response.
 	WriteStall config.Duration `json:"write_stall"`
-	// AcceptQuiet is how long no new connection must have come before a stopping
-	// instance closes its listener.
+	// AcceptQuiet is the time without a new connection after which a stopping instance
+	// closes its listener.
 	AcceptQuiet config.Duration `json:"accept_quiet"`
-	// AcceptMax bounds the wait for accept_quiet, for a balancer that never heeds
+	// AcceptMax limits the wait for accept_quiet, in case the load balancer ignores
 	// readiness.
 	AcceptMax config.Duration `json:"accept_max"`
-	// DrainIdle is how long a caller's connection must have been silent before a
-	// stopping instance closes it.
+	// DrainIdle is how long a caller's connection must have been idle before a stopping
+	// instance closes it.
 	DrainIdle config.Duration `json:"drain_idle"`
-	// DialTimeout bounds the opening of a connection to a backend server, for a
-	// request's first attempt; it doubles with each further one.
+	// DialTimeout limits the time to open a connection to a backend server for a request's
+	// first attempt. It doubles with each further attempt.
 	DialTimeout config.Duration `json:"dial_timeout"`
-	// BackendIdle is how long an unused connection is kept to a backend server that does
-	// not say how long it keeps it.
+	// BackendIdle is how long an idle connection to a backend server is kept open if the
+	// server announces no keep-alive time.
 	BackendIdle config.Duration `json:"backend_idle"`
-	// Inactivity is how long a backend server may be silent within an answer.
+	// Inactivity is the maximum time during which a backend server sends nothing within a
+	// response.
 	Inactivity config.Duration `json:"inactivity"`
 }
 
-// MaxVerbosity is the highest log_verbosity.
+// MaxVerbosity is the maximum of log_verbosity.
 const MaxVerbosity = 9
 
-// Default returns the settings that a file changes. Who and where an instance is
-// has no default.
+// Default returns the default settings, which a settings file overrides. The instance's
+// name, its location and the addresses for callers and peers have no defaults.
 func Default() Settings {
 	return Settings{
 		AdminListen:    "127.0.0.1:7090",
@@ -147,8 +153,8 @@
 	}
 }
 
-// Read reads and checks a settings file. The error is of type jsonc.Findings
-// when the file could be read.
+// Read reads and validates a settings file. If the file can be read but is invalid, the
+// error is of type jsonc.Findings.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -157,8 +163,8 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file. The error is of type jsonc.Findings
-// and holds every finding.
+// Parse parses and validates the contents of a settings file. The error is of type
+// jsonc.Findings and holds every finding.
 func Parse(file string, text []byte) (*Settings, error) {
 	doc, err := jsonc.Parse(file, text)
 	if err != nil {
@@ -217,7 +223,7 @@
 	}
 }
 
-// checkDialled finds an address that others could not connect to.
+// checkDialled adds a finding for an address that other instances cannot connect to.
 func checkDialled(doc *jsonc.Document, path, address string) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
@@ -225,21 +231,21 @@
 	}
 }
 
-// checkDistinct finds one address written for two uses.
+// checkDistinct adds a finding for an address that is used for two listeners.
 func checkDistinct(doc *jsonc.Document, s *Settings) {
 	seen := make(map[string]string)
-	for _, a := range []struct{ path, address string }{
+	for _, listener := range []struct{ path, address string }{
 		{"listen", s.Listen}, {"peer_listen", s.PeerListen}, {"admin_listen", s.AdminListen},
 		{"ready_listen", s.ReadyListen},
 	} {
-		addr, err := netip.ParseAddrPort(a.address)
+		addr, err := netip.ParseAddrPort(listener.address)
 		if err != nil || addr.Port() == 0 {
 			continue
 		}
-		if first := seen[a.address]; first != "" {
-			doc.Add(a.path, "%s %q is already the address of %s, expected another", a.path, a.address, first)
+		if first := seen[listener.address]; first != "" {
+			doc.Add(listener.path, "%s %q is already the address of %s, expected another", listener.path, listener.address, first)
 		}
-		seen[a.address] = a.path
+		seen[listener.address] = listener.path
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,15 +28,16 @@
 	require.Equal(t, settings.Default().Limits, s.Limits)
 }
 
-// A platform that works the fleet's allowance of retries out from its size writes a
-// fraction, and the instance did not start.
+// TestAFractionOfARetry guards against rejecting a fractional retry_burst. A platform derives
+// the value from the size of the fleet; while only whole numbers were accepted, the
+// instance did not start.
 func TestAFractionOfARetry(t *testing.T) {
 	s, err := settings.Parse("s", []byte(strings.Replace(base, `"name"`, `"bounds": {"retry_burst": 33.1578947368421}, "name"`, 1)))
 	require.NoError(t, err)
 	require.InDelta(t, 33.1578947368421, s.Bounds.RetryBurst, 0)
 }
 
-// TestFindingsTogether gives every finding of a file in one report.
+// TestFindingsTogether checks that all findings of a file are reported together.
 func TestFindingsTogether(t *testing.T) {
 	_, err := settings.Parse("s.json", []byte(`{
   "name": "entry 1",
