--- a/api/peerpb/generated_test.go
+++ b/api/peerpb/generated_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGeneratedCodeIsOfThisSource shows that make generate ran after the last
-// edit of the source.
+// make generate must run after each edit of peer.proto: it records the digest of the source that
+// the code was generated from.
 func TestGeneratedCodeIsOfThisSource(t *testing.T) {
 	source, err := os.ReadFile("peer.proto")
 	require.NoError(t, err)
--- a/test/fixedseed/fixedseed.go
+++ b/test/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package fixedseed gives the property tests of a package that imports it the same
-// seed in every run, so that a verdict of CI does not change from run to run.
-// `go test -rapid.seed=N` still plays another one, and 0 a random one.
+// Package fixedseed sets a fixed seed for the property tests of a package that imports it, so that
+// the result of CI does not change from run to run. `go test -rapid.seed=N` overrides the seed,
+// and N=0 selects a random one.
 package fixedseed
 
 import (
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -12,24 +12,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counts are what a session must keep at zero.
+// counts holds the numbers of incorrectly handled notes. A note is a request that must run at most
+// once. All numbers must be zero.
 type counts struct {
-	// lost are notes whose caller has neither an answer nor a true refusal at the
-	// end of its tries.
+	// lost counts the notes whose caller has neither a response nor a correct refusal after its
+	// last attempt.
 	lost int
-	// doubled are notes that ran more than once.
+	// doubled counts the notes that ran more than once.
 	doubled int
-	// falselyRefused are notes said not to have run that ran.
+	// falselyRefused counts the notes that ran although they were reported as not run.
 	falselyRefused int
 }
 
-// note sends one note until it is answered, known to have been answered before, or
-// out of tries, each time through the next instance, as a caller behind a balancer
-// does. It returns the last answer, and whether every word was that it did not run.
-func (f *fleet) note(key string, first, tries int) (answer, bool) {
+// note sends a note until it is answered, reported as answered before, or out of attempts. Each
+// attempt uses the next instance, like a caller behind a load balancer. note returns the last
+// response and whether all responses said that the note did not run.
+func (f *fleet) note(key string, first, attempts int) (answer, bool) {
 	var last answer
 	notRun := true
-	for n := range tries {
+	for n := range attempts {
 		last = f.send(f.instances[(first+n)%len(f.instances)], key)
 		switch {
 		case last.outcome == "answered" || last.first == "answered":
@@ -42,8 +43,9 @@
 	return last, notRun
 }
 
-// storm sends many notes at once while strike does its work, and counts.
-func (f *fleet) storm(callers, each int, strike func()) counts {
+// storm sends notes from many concurrent callers while inject disturbs the fleet, and returns the
+// counts.
+func (f *fleet) storm(callers, each int, inject func()) counts {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	var c counts
@@ -73,7 +75,7 @@
 			}
 		})
 	}
-	strike()
+	inject()
 	group.Wait()
 	f.runs.mu.Lock()
 	for _, n := range f.runs.of {
@@ -82,14 +84,14 @@
 		}
 	}
 	f.runs.mu.Unlock()
-	f.t.Logf("answered %d, duplicate %d, claimed and never run %d, refused %d; lost %d, doubled %d, falsely refused %d",
+	f.t.Logf("answered %d, duplicate %d, claimed and never run %d, refused %d; lost %d, duplicated %d, falsely refused %d",
 		answered, duplicate, inDoubt, refused, c.lost, c.doubled, c.falselyRefused)
 	return c
 }
 
-// The board gets two approval notes for one dossier. An instance is killed with
-// notes in all stages: waiting for their claim, claimed and not sent, sent and not
-// answered. Their callers, whose connections broke, send them again through others.
+// Guards against a non-idempotent request that runs twice after the crash of an instance. The
+// instance is killed with requests in all stages: waiting for the claim, claimed and not sent, sent
+// and not answered. The callers, whose connections broke, retry through other instances.
 func TestKilledInstanceDoublesNoNote(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 2, 10*time.Millisecond)
 	c := f.storm(12, 25, func() {
@@ -99,32 +101,32 @@
 	require.Equal(t, counts{}, c)
 }
 
-// The same note appears twice after a machine hung for a while. An instance that
-// owns ranges of the ledger is stopped with writes in flight; callers give up and
-// send their notes through others, which take its ranges over; then it wakes and
-// goes on where it was.
+// Guards against a non-idempotent request that runs twice after the suspension of an instance. An
+// instance that owns partitions of the claims ledger is suspended with writes in flight. Callers
+// time out and retry through other instances, which take over its partitions. Then the instance
+// resumes where it was.
 func TestFrozenInstanceWakesAndDoublesNoNote(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 2, 10*time.Millisecond)
 	f.callerTimeout = 500 * time.Millisecond
-	frozen := f.instances[1]
+	suspended := f.instances[1]
 	c := f.storm(12, 25, func() {
 		for range 2 {
 			time.Sleep(200 * time.Millisecond)
-			frozen.signal(t, syscall.SIGSTOP)
+			suspended.signal(t, syscall.SIGSTOP)
 			time.Sleep(1500 * time.Millisecond)
-			frozen.signal(t, syscall.SIGCONT)
+			suspended.signal(t, syscall.SIGCONT)
 		}
 	})
 	require.Equal(t, counts{}, c)
 }
 
-// A zone loses the platform and the other zone for some seconds. Its callers'
-// ordinary requests are answered throughout; notes that need the ledger are refused
-// there, truly, and go through elsewhere; after the cut the zone has the text that
-// was accepted meanwhile.
+// An availability zone loses the connections to the platform and to the other zone for some
+// seconds. Idempotent requests in this zone are still served. Notes, which need the claims ledger,
+// are refused there without a run and succeed through the other zone. After the partition the zone
+// has the configuration that was accepted in the meantime.
 func TestZoneCutOffServesAndCatchesUp(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 2, 10*time.Millisecond)
-	cut := func(on bool) {
+	setPartition := func(on bool) {
 		setCut(f.store["b"], on)
 		for _, zone := range []string{"a", "b"} {
 			for _, r := range f.links[zone] {
@@ -135,7 +137,7 @@
 	served, refused := 0, 0
 	c := f.storm(8, 20, func() {
 		time.Sleep(200 * time.Millisecond)
-		cut(true)
+		setPartition(true)
 		f.apply(2, f.text([]string{"a", "b"}, 0))
 		for n := range 20 {
 			req, err := http.NewRequest(http.MethodGet, "http://"+f.instances[1].callers+"/services/notes/list", nil)
@@ -148,15 +150,15 @@
 				refused++
 			}
 		}
-		alone := f.send(f.instances[1], "note-in-cut")
-		require.Equal(t, "not-run", alone.outcome, "no ledger, no note")
-		require.Equal(t, "claim-unavailable", alone.reason)
+		isolated := f.send(f.instances[1], "note-in-cut")
+		require.Equal(t, "not-run", isolated.outcome, "a note can't run without the ledger")
+		require.Equal(t, "claim-unavailable", isolated.reason)
 		require.Zero(t, f.runs.count("note-in-cut"))
 		f.waitGeneration(f.instances[0], 2)
-		require.Equal(t, uint64(1), f.generation(f.instances[1]), "cut off from the text")
-		cut(false)
+		require.Equal(t, uint64(1), f.generation(f.instances[1]), "the partitioned zone can't read the new configuration")
+		setPartition(false)
 	})
-	t.Logf("in the cut zone: %d ordinary requests served, %d refused", served, refused)
+	t.Logf("in the partitioned zone: %d idempotent requests served, %d refused", served, refused)
 	require.Equal(t, counts{}, c)
 	require.Zero(t, refused)
 	for _, i := range f.instances {
@@ -164,8 +166,8 @@
 	}
 }
 
-// An operator's edit stays without effect on some entry instance. Eight processes
-// in two zones must all have each of several edits in force within seconds.
+// Guards against an operator's edit that doesn't reach some instance. Eight processes in two
+// availability zones must all have each of several edits in force within the timeout.
 func TestEditIsInForceOnEightInstances(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 4, 0)
 	for generation := uint64(2); generation <= 4; generation++ {
@@ -178,10 +180,10 @@
 	}
 }
 
-// A member's request is lost while the operators replace the fleet. Under load, the
-// instances of one zone are replaced one after another, then those of the other two
-// at once; a caller whose connection is refused goes to the next instance, as a
-// balancer does. Notes wait for their claims and for their answers all the while.
+// Guards against a request that is lost during a rolling replacement. Under load, the instances of
+// one availability zone are replaced one by one, then those of the other zone two at a time. A
+// caller whose connection is refused uses the next instance, like a load balancer. Throughout the
+// replacement, notes wait for their claims and for their responses.
 func TestRollingReplacementLosesNothing(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 4, 50*time.Millisecond)
 	zone := make(map[string][]*instance)
@@ -198,7 +200,7 @@
 	require.Equal(t, counts{}, c)
 }
 
-// replace stops instances at once and starts them again once all have ended.
+// replace stops instances in parallel and restarts them when all have exited.
 func (f *fleet) replace(list ...*instance) {
 	for _, i := range list {
 		i.signal(f.t, syscall.SIGTERM)
@@ -207,7 +209,7 @@
 		select {
 		case <-i.ended:
 		case <-time.After(patience):
-			f.t.Errorf("%s does not end", i.name)
+			f.t.Errorf("%s does not exit", i.name)
 			return
 		}
 		require.Zero(f.t, i.process.ProcessState.ExitCode(), i.name)
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -1,8 +1,8 @@
-// Package fleet_test starts whole fleets of real instances and strikes them with
-// kills, freezes and cuts while callers send requests that may run only once.
+// Package fleet_test starts fleets of real instances and kills, suspends or partitions them while
+// callers send requests that must run at most once.
 //
-// The platform and the backend servers stand inside the test process; the
-// instances are processes of their own, each ended by the test that started it.
+// The platform and the backend servers are fakes inside the test process. Each instance is a
+// separate process, which the test that started it stops.
 package fleet_test
 
 import (
@@ -32,7 +32,7 @@
 )
 
 const (
-	// patience bounds every wait for something that must come.
+	// patience is the timeout of every wait for an expected event.
 	patience = 30 * time.Second
 	poll     = 20 * time.Millisecond
 )
@@ -67,10 +67,10 @@
 	return r
 }
 
-// setCut ends the connections in progress and takes no others, or heals. One that
-// was being made meanwhile ends with its first byte.
-func setCut(r *relay.Relay, cut bool) {
-	if !cut {
+// setCut resets the open connections of a relay and refuses new ones, or ends that fault. A
+// connection that is being established in the meantime is reset at its first byte.
+func setCut(r *relay.Relay, partitioned bool) {
+	if !partitioned {
 		r.Set(relay.None)
 		return
 	}
@@ -78,7 +78,7 @@
 	r.Cut()
 }
 
-// runs counts how often each key was run, over all backend servers.
+// runs counts the runs of each key over all backend servers.
 type runs struct {
 	mu sync.Mutex
 	of map[string]int
@@ -115,23 +115,24 @@
 	platform  *standin.Server
 	runs      *runs
 	instances []*instance
-	// store holds the relay by which each zone reaches the platform.
+	// store holds, by zone, the relay through which the zone connects to the platform.
 	store map[string]*relay.Relay
-	// links holds the relays of the peers' ports, by reaching zone and instance.
+	// links holds, by zone and name of an instance in another zone, the relay through which the
+	// zone connects to that instance's peer port.
 	links map[string]map[string]*relay.Relay
-	// callerTimeout is when a caller gives a request up.
+	// callerTimeout is the timeout of a caller's request.
 	callerTimeout time.Duration
 }
 
-// startFleet starts instances, zone by zone, before backend servers that answer
-// after delay.
-func startFleet(t *testing.T, zones []string, each int, delay time.Duration) *fleet {
+// startFleet starts the given number of instances per zone, and backend servers that respond after
+// delay.
+func startFleet(t *testing.T, zones []string, perZone int, delay time.Duration) *fleet {
 	f := &fleet{
 		t: t, platform: standin.New(), runs: &runs{of: make(map[string]int)},
 		store: make(map[string]*relay.Relay), links: make(map[string]map[string]*relay.Relay),
 		callerTimeout: patience,
 	}
-	for n := range each {
+	for n := range perZone {
 		for _, zone := range zones {
 			f.instances = append(f.instances, f.prepare(fmt.Sprintf("entry-%s-%d", zone, n), zone))
 		}
@@ -149,16 +150,16 @@
 	return f
 }
 
-// The ports of instances lie under the range from which the system takes those of
-// outgoing connections, so that none of these takes one before its instance starts,
-// and over the ports of package sessions_test.
+// The ports of instances are below the range from which the system takes the ports of outgoing
+// connections, so that no such connection uses one before its instance starts. They are above the
+// ports of package sessions_test.
 const (
 	lowPort  = 30_000
 	highPort = 32_700
 )
 
-// given are the ports handed out, none of them twice: instances of one fleet bind
-// theirs only later.
+// given holds the ports that freeAddress has returned. It returns none twice, because the instances
+// bind their ports only later.
 var given = make(map[int]bool)
 
 func freeAddress(t *testing.T) string {
@@ -185,11 +186,11 @@
 	}
 }
 
-// instancePrefix is that of the instances' own entries in the store.
+// instancePrefix is the prefix of the instances' keys in the store.
 const instancePrefix = "ebonydyke/instances/"
 
-// openZone gives a zone its own way to the store, whose entries name the relays by
-// which the zone reaches the other zones' instances.
+// openZone starts the relays of a zone to the store and to the instances of the other zones. In the
+// zone's view of the store, the entries of these instances contain the addresses of the relays.
 func (f *fleet) openZone(zone string) {
 	f.links[zone] = make(map[string]*relay.Relay)
 	for _, i := range f.instances {
@@ -207,7 +208,7 @@
 	f.store[zone] = newRelay(f.t, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// entries are the instances' entries as a zone sees them.
+// entries returns the instances' entries in a zone's view of the store.
 func (f *fleet) entries(zone string) map[string][]byte {
 	entries := make(map[string][]byte)
 	for _, i := range f.instances {
@@ -225,7 +226,7 @@
 	return entries
 }
 
-// text declares a plain service with one backend server a zone.
+// text returns a configuration with one plain service and starts one backend server of it per zone.
 func (f *fleet) text(zones []string, delay time.Duration) string {
 	var servers []config.BackendServer
 	for _, zone := range zones {
@@ -251,7 +252,7 @@
 	return string(text)
 }
 
-// apply writes a text as the next generation, as the operators' tool does.
+// apply writes a configuration to the store, as the operators' tool does.
 func (f *fleet) apply(generation uint64, text string) {
 	value, err := json.Marshal(config.Envelope{Generation: generation, Edit: fmt.Sprint("edit-", generation), Text: text})
 	require.NoError(f.t, err)
@@ -259,29 +260,29 @@
 }
 
 func (f *fleet) start(i *instance) {
-	text, err := json.Marshal(map[string]string{
+	settings, err := json.Marshal(map[string]string{
 		"name": i.name, "zone": i.zone, "listen": i.callers, "peer_listen": i.peers,
 		"admin_listen": i.ops, "platform": "http://" + f.store[i.zone].Address(),
 		"accept_delay": "200ms",
 	})
 	require.NoError(f.t, err)
 	i.settings = filepath.Join(f.t.TempDir(), i.name+".json")
-	require.NoError(f.t, os.WriteFile(i.settings, text, 0o600))
+	require.NoError(f.t, os.WriteFile(i.settings, settings, 0o600))
 	i.process = exec.Command(binary, "--settings", i.settings)
 	log, err := os.Create(i.settings + ".log")
 	require.NoError(f.t, err)
 	i.process.Stdout, i.process.Stderr = log, log
 	require.NoError(f.t, i.process.Start())
 	i.ended = make(chan struct{})
-	process, ended := i.process, i.ended
+	process, exited := i.process, i.ended
 	go func() {
 		_ = process.Wait()
 		_ = log.Close()
-		close(ended)
+		close(exited)
 	}()
 	f.t.Cleanup(func() {
 		_ = process.Process.Kill()
-		<-ended
+		<-exited
 		if f.t.Failed() {
 			lines, _ := os.ReadFile(i.settings + ".log")
 			f.t.Logf("%s:\n%.4000s", i.name, lines)
@@ -289,7 +290,8 @@
 	})
 }
 
-// generation is the configuration in force at an instance, 0 if it does not say.
+// generation returns the generation of the configuration in force at an instance, or 0 if the
+// instance can't be reached.
 func (f *fleet) generation(i *instance) uint64 {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + i.ops + "/status")
@@ -309,7 +311,7 @@
 	require.Eventually(f.t, func() bool { return f.generation(i) == generation }, patience, poll, "%s has generation %d", i.name, generation)
 }
 
-// answer is what a caller saw.
+// answer is the response that a caller received.
 type answer struct {
 	status  int
 	outcome string
@@ -318,8 +320,8 @@
 	body    string
 }
 
-// send sends a note that may run only once. An answer of status 0 is a
-// connection that ended without one.
+// send sends a note, which must run at most once. It returns status 0 if the request failed without
+// a complete response.
 func (f *fleet) send(i *instance, key string) answer {
 	req, err := http.NewRequest(http.MethodPost, "http://"+i.callers+"/services/notes/approve", strings.NewReader("note "+key))
 	if err != nil {
--- a/test/relay/relay.go
+++ b/test/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a TCP relay with faults to order, for tests of what a broken
-// network does between two parties.
+// Package relay provides a TCP proxy that injects network faults, for tests of the behaviour of
+// two endpoints on a faulty network.
 package relay
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// NoLimit lets a direction carry any number of bytes.
+// NoLimit disables the byte limit of a direction.
 const NoLimit = -1
 
-// Relay passes connections on to one target.
+// Relay forwards connections to one target.
 type Relay struct {
 	target   string
 	listener net.Listener
@@ -23,26 +23,26 @@
 	conns  map[net.Conn]struct{}
 }
 
-// Faults are what the relay does to connections. The zero value cuts at once;
-// begin from None.
+// Faults are the faults that the relay injects into connections. The zero value resets connections
+// at once, so start from None.
 type Faults struct {
-	// Delay holds back each piece of data.
+	// Delay is the delay of each chunk of data.
 	Delay time.Duration
-	// Frozen carries nothing and closes nothing, like a cut cable.
+	// Frozen stops all traffic without closing connections, like a cut cable.
 	Frozen bool
-	// Refuse closes new connections at once.
+	// Refuse resets new connections at once.
 	Refuse bool
-	// CutForward and CutBack are how many bytes a connection carries to the target
-	// and back before it is reset, or NoLimit.
+	// CutForward and CutBack are the numbers of bytes that a connection transfers to and from
+	// the target before it is reset, or NoLimit.
 	CutForward, CutBack int
-	// Once heals the relay after the first connection that is cut.
+	// Once removes all faults after the first reset of a connection by CutForward or CutBack.
 	Once bool
 }
 
-// None is a sound network.
+// None injects no faults.
 var None = Faults{CutForward: NoLimit, CutBack: NoLimit}
 
-// Start returns a relay to target.
+// Start starts a relay to target on a free port.
 func Start(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,10 +54,10 @@
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set changes the faults, for open connections too.
+// Set changes the faults, also for open connections.
 func (r *Relay) Set(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.Set(None)
@@ -83,42 +83,42 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(near)
+		go r.carry(client)
 	}
 }
 
-func (r *Relay) carry(near net.Conn) {
+func (r *Relay) carry(client net.Conn) {
 	if r.current().Refuse {
-		reset(near)
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", r.target)
+	server, err := net.Dial("tcp", r.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	r.hold(near, far)
+	r.hold(client, server)
 	var both sync.WaitGroup
-	both.Go(func() { r.pipe(far, near, func(f Faults) int { return f.CutForward }) })
-	both.Go(func() { r.pipe(near, far, func(f Faults) int { return f.CutBack }) })
+	both.Go(func() { r.pipe(server, client, func(f Faults) int { return f.CutForward }) })
+	both.Go(func() { r.pipe(client, server, func(f Faults) int { return f.CutBack }) })
 	both.Wait()
-	r.drop(near, far)
+	r.drop(client, server)
 }
 
-// pipe carries one direction until its end, or resets both at its limit.
+// pipe copies one direction until its end. At the byte limit it resets both connections.
 func (r *Relay) pipe(to, from net.Conn, limit func(Faults) int) {
 	buffer := make([]byte, 4096)
-	carried := 0
+	transferred := 0
 	for {
 		n, err := from.Read(buffer)
 		f := r.wait()
 		left := limit(f)
-		if n > 0 && left != NoLimit && carried+n >= left {
-			_, _ = to.Write(buffer[:max(0, left-carried)])
+		if n > 0 && left != NoLimit && transferred+n >= left {
+			_, _ = to.Write(buffer[:max(0, left-transferred)])
 			if f.Once {
 				r.Set(None)
 			}
@@ -127,7 +127,7 @@
 			reset(from)
 			return
 		}
-		carried += n
+		transferred += n
 		time.Sleep(f.Delay)
 		if _, werr := to.Write(buffer[:n]); werr != nil {
 			reset(from)
@@ -140,7 +140,7 @@
 	}
 }
 
-// wait returns the faults in force, once the relay is not frozen.
+// wait blocks while the relay is frozen and returns the current faults.
 func (r *Relay) wait() Faults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// reset closes a connection so that the other end reads a reset, not an end.
+// reset closes a connection with a TCP reset instead of an orderly shutdown.
 func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
--- a/test/run.sh
+++ b/test/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole path on this machine: a platform, two engines and a plain service
-# as stand-ins, two instances in two availability zones, one text, two chat turns.
-# It needs Go and bash, takes free ports, and ends every process that it started.
+# Runs an end-to-end example on this machine: a fake platform, two fake engines and a fake plain
+# service, two instances in two availability zones, one configuration and two chat turns.
+# It needs Go and bash, uses free ports, and stops every process that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -16,8 +16,8 @@
 
 go build -o bin/ ./cmd/... ./test/standin
 
-# Ten ports in a row on which nothing listens, under those that the system gives
-# to outgoing connections.
+# Finds ten consecutive ports on which nothing listens, below the range from which the system takes
+# the ports of outgoing connections.
 taken() { (exec 3<>"/dev/tcp/127.0.0.1/$1") 2>/dev/null; }
 free_ports() {
   local first p
@@ -76,7 +76,7 @@
 
 echo
 echo "\$ ebonyctl apply fleet.json"
-for _ in {1..100}; do # until the platform listens
+for _ in {1..100}; do # wait until the platform listens
   bin/ebonyctl get >/dev/null 2>&1 && break
   sleep 0.1
 done
@@ -93,8 +93,8 @@
 echo "\$ ebonyctl send --chat dossier-17 ...    # first turn, through entry-1"
 turn "$(port 4)" | tee "$work/first"
 echo
-# Whoever reads an answer writes again later than the peers hear of its end, which
-# takes a round of half a second.
+# Peers receive the end of the first request with a digest, up to half a second later. Real callers
+# take longer than that between two turns.
 sleep 1
 echo "\$ ebonyctl send --chat dossier-17 ...    # second turn, through entry-2"
 turn "$(port 7)" | tee "$work/second" | tail -n 1
--- a/test/sessions/processes_test.go
+++ b/test/sessions/processes_test.go
@@ -25,7 +25,7 @@
 	processPoll = 20 * time.Millisecond
 )
 
-// fleet is a platform, two engines and three instances as processes of their own.
+// fleet is a fake platform, two fake engines and three instances, each in its own process.
 type fleet struct {
 	t    *testing.T
 	bin  string
@@ -77,10 +77,10 @@
 
 func (f *fleet) address(i int) string { return "127.0.0.1:" + f.port[i] }
 
-// listen is where an instance takes callers' requests.
+// listen returns the address on which an instance accepts callers' requests.
 func (f *fleet) listen(i int) string { return f.address(3 + 3*i) }
 
-// start runs a program until the test's end, and then ends it by its own id.
+// start starts a program and kills it at the end of the test.
 func (f *fleet) start(name string, args ...string) *exec.Cmd {
 	f.t.Helper()
 	c := exec.Command(filepath.Join(f.bin, name), args...)
@@ -107,12 +107,12 @@
 	return req
 }
 
-// chatReply is what a caller got.
+// chatReply is the response that a caller received.
 type chatReply struct {
 	status  int
 	backend string
 	body    string
-	// err is the error in which the answer's body ended.
+	// err is the error at which the response body ended.
 	err error
 }
 
@@ -120,8 +120,9 @@
 	return f.chatThen(i, h, func(string) {})
 }
 
-// chatThen calls begun with the answer's engine when its first byte is there.
-func (f *fleet) chatThen(i int, h map[string]string, begun func(backend string)) (chatReply, error) {
+// chatThen sends a chat request and calls onFirstByte with the name of the responding engine when
+// the first byte of the response has arrived.
+func (f *fleet) chatThen(i int, h map[string]string, onFirstByte func(backend string)) (chatReply, error) {
 	resp, err := http.DefaultClient.Do(f.request(i, h))
 	if err != nil {
 		return chatReply{}, err
@@ -134,7 +135,7 @@
 		got.err = err
 		return got, nil
 	}
-	begun(got.backend)
+	onFirstByte(got.backend)
 	body, err := io.ReadAll(resp.Body)
 	got.body, got.err = string(first[:n])+string(body), err
 	return got, nil
@@ -142,7 +143,7 @@
 
 var processToken = regexp.MustCompile(`"content":"(engine-[ab]-\d+)-\d+ "`)
 
-// sources lists the runs that the tokens of an answer come from.
+// sources returns the number of tokens in the response by the run that generated them.
 func (r chatReply) sources() map[string]int {
 	found := make(map[string]int)
 	for _, m := range processToken.FindAllStringSubmatch(r.body, -1) {
@@ -161,10 +162,10 @@
 	}
 }
 
-// An engine's process is killed, or stopped, in the middle of a review. The caller
-// gets an error that it can't take for an end, the stopped one's caller by its
-// deadline. The next turn is whole, from one run. When the stopped engine wakes
-// and sends what it still holds, nobody gets it.
+// An engine's process is killed or suspended in the middle of a stream. The caller gets an error
+// that it can't mistake for the end of the stream, at its deadline if the engine is suspended. The
+// next turn is complete and comes from one run. The events that a suspended engine sends after it
+// resumes reach no caller.
 func TestEngineProcessKilledOrFrozen(t *testing.T) {
 	const tokens = 20
 	for _, signal := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP} {
@@ -173,19 +174,20 @@
 			first, err := f.chat(0, nil)
 			require.NoError(t, err)
 			first.requireWhole(t, tokens)
-			// Not the first turn's engine: what another instance told of its load half a
-			// second ago may have led the first turn elsewhere.
-			var struck *exec.Cmd
-			cut, err := f.chatThen(0, map[string]string{proxy.HeaderDeadline: "3000"}, func(backend string) {
-				struck = f.engines[backend]
-				_ = struck.Process.Signal(signal)
+			// The engine of the second turn may differ from that of the first one. The first
+			// choice depended on load reports of another instance, which were up to half a
+			// second old.
+			var stopped *exec.Cmd
+			interrupted, err := f.chatThen(0, map[string]string{proxy.HeaderDeadline: "3000"}, func(backend string) {
+				stopped = f.engines[backend]
+				_ = stopped.Process.Signal(signal)
 			})
 			require.NoError(t, err)
-			require.ErrorContains(t, cut.err, "unexpected EOF")
-			require.Contains(t, cut.body, "event: error\n")
-			require.NotContains(t, cut.body, "[DONE]")
-			require.Len(t, cut.sources(), 1)
-			_ = struck.Process.Signal(syscall.SIGCONT)
+			require.ErrorContains(t, interrupted.err, "unexpected EOF")
+			require.Contains(t, interrupted.body, "event: error\n")
+			require.NotContains(t, interrupted.body, "[DONE]")
+			require.Len(t, interrupted.sources(), 1)
+			_ = stopped.Process.Signal(syscall.SIGCONT)
 			for i := range fleetInstances {
 				next, err := f.chat(i, nil)
 				require.NoError(t, err)
@@ -195,9 +197,9 @@
 	}
 }
 
-// Two of three instances are stopped at the same moment, under load, and the
-// balancer learns of it from refused connections and "Connection: close" alone.
-// Both processes end with 0, and no request is lost or refused.
+// Two of three instances are stopped at the same time under load. The load balancer notices it only
+// by refused connections and "Connection: close". Both processes exit with 0, and no request is
+// lost or refused.
 func TestTwoInstancesStoppedTogether(t *testing.T) {
 	f := startFleet(t, 8, 5*time.Millisecond)
 	b := &balancer.Balancer{}
--- a/test/sessions/sessions_test.go
+++ b/test/sessions/sessions_test.go
@@ -1,10 +1,9 @@
-// Package sessions_test plays whole sessions of real processes against golden
-// files: a platform, engines and a plain service as stand-ins, two instances in
-// two availability zones, and the operators' tool.
+// Package sessions_test runs scripted sessions of real processes and compares their outputs with
+// golden files. A session has a fake platform, fake engines and a fake plain service, two instances
+// in two availability zones, and the operators' tool.
 //
-// Each script under testdata starts its own processes, and every one still
-// running at its end is ended then. `go test ./test/sessions -update` rewrites
-// the expected outputs on purpose.
+// Each script under testdata starts its own processes. Those that still run at its end are stopped.
+// `go test ./test/sessions -update` rewrites the expected outputs.
 package sessions_test
 
 import (
@@ -23,9 +22,9 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-var update = flag.Bool("update", false, "rewrite the expected outputs on purpose")
+var update = flag.Bool("update", false, "rewrite the expected outputs")
 
-// portNames are the ports of a session, each in an environment variable.
+// portNames lists the environment variables that hold the ports of a session.
 var portNames = []string{
 	"PLATFORM", "ENGINE_A", "ENGINE_B", "PORTAL",
 	"LISTEN_1", "PEER_1", "ADMIN_1", "LISTEN_2", "PEER_2", "ADMIN_2",
@@ -80,9 +79,9 @@
 	return bin
 }
 
-// readSources opens the sources of the programs that are built here. The cache of
-// test results knows the files that a test opens, but not those that a compiler
-// started by it does: it would show the result of an older program.
+// readSources reads the sources of the programs that the test builds. The cache of test results
+// tracks the files that a test opens, but not those that a child process opens, such as the
+// compiler. Without these reads it would return the result for an older build.
 func readSources(t *testing.T) {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -100,18 +99,18 @@
 	}
 }
 
-// Ports of sessions lie under the range from which the system takes the ports of
-// outgoing connections, so that none of those comes in between.
+// The ports of sessions are below the range from which the system takes the ports of outgoing
+// connections, so that no such connection can use one of them.
 const (
 	lowPort   = 20_000
 	blocks    = 600
 	blockSize = 16
 )
 
-// reservePorts finds a block of free ports. Its first port stays bound until the
-// session ends and tells other sessions, also of other test processes, that the
-// block is taken: the rest is free until the session's processes bind it.
-func reservePorts(atEnd func(func()), n int) []string {
+// reservePorts finds a block of free ports. The first port of the block stays bound until the
+// session ends: it marks the block as taken for other sessions, also in other test processes. The
+// other ports are free until the session's processes bind them.
+func reservePorts(cleanup func(func()), n int) []string {
 	for {
 		first := lowPort + blockSize*rand.IntN(blocks)
 		mark, err := net.Listen("tcp", address(first))
@@ -120,7 +119,7 @@
 		}
 		ports := freePorts(first+1, n)
 		if len(ports) == n {
-			atEnd(func() { _ = mark.Close() })
+			cleanup(func() { _ = mark.Close() })
 			return ports
 		}
 		_ = mark.Close()
@@ -142,7 +141,7 @@
 
 func address(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// fleetText is the text that most sessions begin with.
+// fleetText is the initial configuration of most sessions.
 const fleetText = `{
   "services": [
     {"name": "portal", "kind": "plain", "backend_servers": [
@@ -183,7 +182,7 @@
 	return nil
 }
 
-// fill puts the session's ports in place of their names in files of a script.
+// fill replaces the names of ports by the session's ports in files of a script.
 func fill(ts *testscript.TestScript, _ bool, files []string) {
 	for _, name := range files {
 		text := os.Expand(ts.ReadFile(name), ts.Getenv)
--- a/test/sessions/tools_test.go
+++ b/test/sessions/tools_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// normMain runs a command and prints its output with ids, ports and times made
-// the same in every run. It ends with the command's own exit code and shows it.
+// normMain runs a command and prints its output. It replaces IDs, ports and times by fixed words,
+// so that the output is the same in every run. It exits with the command's exit code, and prints
+// that code unless it is 0.
 func normMain() {
 	var stdout, stderr bytes.Buffer
 	code := run(os.Args[1:], &stdout, &stderr)
@@ -28,7 +29,7 @@
 	os.Exit(code)
 }
 
-// varying are the parts of an output that differ from run to run.
+// varying lists the parts of an output that differ from run to run.
 var varying = []struct {
 	pattern *regexp.Regexp
 	text    string
@@ -50,8 +51,8 @@
 	return text
 }
 
-// untilMain runs a command again until it ends with 0 and its output matches the
-// pattern, at most for the time given: until 10s pattern command...
+// untilMain repeats a command until it exits with 0 and its output matches the pattern, or the time
+// limit passes: until 10s pattern command...
 func untilMain() {
 	limit, err := time.ParseDuration(os.Args[1])
 	if err != nil {
@@ -59,7 +60,7 @@
 	}
 	wanted := regexp.MustCompile(os.Args[2])
 	var out bytes.Buffer
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		out.Reset()
 		if run(os.Args[3:], &out, &out) == 0 && wanted.Match(out.Bytes()) {
 			return
@@ -68,7 +69,7 @@
 	fail(fmt.Errorf("not within %v; last output:\n%s", limit, normalise(out.String())))
 }
 
-// callMain calls a stand-in: call method URL [file].
+// callMain sends an HTTP request to a fake server: call method URL [file].
 func callMain() {
 	var body []byte
 	if len(os.Args) > 3 {
@@ -90,16 +91,16 @@
 	}
 }
 
-// togetherMain runs commands at the same moment, divided by --, and prints their
-// exit codes in rising order.
+// togetherMain runs commands, separated by --, in parallel and prints their exit codes in ascending
+// order.
 func togetherMain() {
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	commands := splitCommands(os.Args[1:])
 	codes := make([]int, len(commands))
 	for i, command := range commands {
-		wait.Go(func() { codes[i] = run(command, io.Discard, io.Discard) })
+		wg.Go(func() { codes[i] = run(command, io.Discard, io.Discard) })
 	}
-	wait.Wait()
+	wg.Wait()
 	slices.Sort(codes)
 	fmt.Println(codes)
 }
@@ -121,10 +122,10 @@
 	c := exec.Command(command[0], command[1:]...)
 	c.Stdout, c.Stderr = stdout, stderr
 	err := c.Run()
-	var exit *exec.ExitError
+	var exitErr *exec.ExitError
 	switch {
-	case errors.As(err, &exit):
-		return exit.ExitCode()
+	case errors.As(err, &exitErr):
+		return exitErr.ExitCode()
 	case err != nil:
 		fail(err)
 	}
--- a/test/standin/balancer/balancer.go
+++ b/test/standin/balancer/balancer.go
@@ -1,8 +1,8 @@
-// Package balancer stands in for the platform's balancer: it spreads load over
-// instances and counts what is lost.
+// Package balancer implements a fake of the platform's load balancer. It distributes requests over
+// instances and counts the lost ones.
 //
-// It sends a request again only when its connection was refused; whatever else
-// fails is a lost request.
+// It retries a request only if the connection was refused. A request that fails in any other way is
+// lost.
 package balancer
 
 import (
@@ -24,13 +24,14 @@
 
 const (
 	dialTimeout = 10 * time.Second
-	// aliveWait is how long an idle connection is looked at before it is used.
+	// aliveWait is the read timeout of the check whether an idle connection was closed.
 	aliveWait = 200 * time.Microsecond
-	// maxLosses is how many losses are kept to be shown.
+	// maxLosses is the maximum number of errors, and of idle times, that are kept for the
+	// output of a failed test.
 	maxLosses = 16
 )
 
-// Balancer is one balancer.
+// Balancer is a load balancer.
 type Balancer struct {
 	mu        sync.Mutex
 	addresses []string
@@ -38,18 +39,19 @@
 	losses    []error
 	silences  []time.Duration
 
-	// Whole, Refused and Lost count the requests by their end.
+	// Whole, Refused and Lost count the requests by result: complete response, refusal, and
+	// neither.
 	Whole, Refused, Lost atomic.Int64
 }
 
-// Add sends new connections to an instance too.
+// Add adds an instance to the targets of new connections.
 func (b *Balancer) Add(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addresses = append(b.addresses, address)
 }
 
-// Remove sends no new connection to an instance any more.
+// Remove removes an instance from the targets of new connections.
 func (b *Balancer) Remove(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,16 +65,16 @@
 	return slices.Clone(b.losses)
 }
 
-// Silences returns, of each of the first refused requests, how long its connection can have
-// been silent at most when the request had been sent: since the one before was sent, or
-// since it was asked for.
+// Silences returns, for each of the first refused requests, the maximum time for which its
+// connection can have been idle when the request was written. This is the time since the previous
+// request was sent, or since the connection was requested.
 func (b *Balancer) Silences() []time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.silences)
 }
 
-// Connect opens a connection to the next instance that does not refuse it.
+// Connect opens a connection to the next instance, in round-robin order, that does not refuse it.
 func (b *Balancer) Connect() (net.Conn, error) {
 	for {
 		b.mu.Lock()
@@ -87,20 +89,20 @@
 	}
 }
 
-// Worker is one source of requests.
+// Worker is a source of sequential requests.
 type Worker struct {
-	// Request makes the next request.
+	// Request returns the next request.
 	Request func() *http.Request
-	// Keep uses a connection until an answer asks to close it.
+	// Keep reuses a connection until a response has "Connection: close".
 	Keep bool
-	// Pause lies between two requests.
+	// Pause is the pause between two requests.
 	Pause time.Duration
 }
 
-// Run sends the worker's requests until stop is closed.
+// Run sends requests of the worker until stop is closed.
 func (b *Balancer) Run(stop <-chan struct{}, w Worker) {
 	var conn net.Conn
-	var active time.Time
+	var lastActive time.Time
 	for {
 		select {
 		case <-stop:
@@ -108,7 +110,7 @@
 		default:
 		}
 		if conn == nil || closed(conn) {
-			active = time.Now()
+			lastActive = time.Now()
 			var err error
 			if conn, err = b.Connect(); err != nil {
 				conn = nil
@@ -117,12 +119,12 @@
 			}
 		}
 		sending := time.Now()
-		again, err := b.send(conn, w.Request(), active)
-		active = sending
+		reusable, err := b.send(conn, w.Request(), lastActive)
+		lastActive = sending
 		if err != nil {
 			b.lose(err)
 		}
-		if !again || !w.Keep {
+		if !reusable || !w.Keep {
 			_ = conn.Close()
 			conn = nil
 		}
@@ -130,14 +132,13 @@
 	}
 }
 
-// Send sends one request, counts its answer and tells whether the connection may
-// be used again.
-func (b *Balancer) Send(conn net.Conn, req *http.Request) (again bool, err error) {
+// Send sends one request, counts its result and reports whether the connection can be reused.
+func (b *Balancer) Send(conn net.Conn, req *http.Request) (reusable bool, err error) {
 	return b.send(conn, req, time.Now())
 }
 
-// send is Send on a connection that was in use at a time.
-func (b *Balancer) send(conn net.Conn, req *http.Request, active time.Time) (again bool, err error) {
+// send implements Send. The connection was last active at lastActive.
+func (b *Balancer) send(conn net.Conn, req *http.Request, lastActive time.Time) (reusable bool, err error) {
 	if err := req.Write(conn); err != nil {
 		return false, fmt.Errorf("write: %w", err)
 	}
@@ -154,19 +155,19 @@
 	case resp.StatusCode == http.StatusOK:
 		b.Whole.Add(1)
 	case resp.Header.Get(proxy.HeaderOutcome) == string(reason.NotRun):
-		b.refused(sent.Sub(active))
+		b.refused(sent.Sub(lastActive))
 	default:
 		return false, fmt.Errorf("status %d, %s", resp.StatusCode, resp.Header.Get(proxy.HeaderReason))
 	}
 	return !resp.Close, nil
 }
 
-func (b *Balancer) refused(silence time.Duration) {
+func (b *Balancer) refused(idle time.Duration) {
 	b.Refused.Add(1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.silences) < maxLosses {
-		b.silences = append(b.silences, silence)
+		b.silences = append(b.silences, idle)
 	}
 }
 
@@ -179,7 +180,7 @@
 	}
 }
 
-// closed tells whether the other end closed an idle connection, and closes it then.
+// closed reports whether the peer closed an idle connection. If so, it closes the connection.
 func closed(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(aliveWait))
 	_, err := conn.Read(make([]byte, 1))
--- a/test/standin/engine/cache.go
+++ b/test/standin/engine/cache.go
@@ -2,7 +2,7 @@
 
 import "container/list"
 
-// prefixCache remembers the chats whose prefix an engine still holds.
+// prefixCache is an LRU cache of the chats whose prefix an engine holds.
 type prefixCache struct {
 	size  int
 	order *list.List
@@ -13,7 +13,8 @@
 	return &prefixCache{size: size, order: list.New(), chats: make(map[string]*list.Element)}
 }
 
-// use tells whether the chat's prefix was there, and keeps it as the newest.
+// use marks the chat's prefix as the most recently used, adding it if needed, and reports whether
+// it was cached.
 func (c *prefixCache) use(chat string) bool {
 	if e, ok := c.chats[chat]; ok {
 		c.order.MoveToFront(e)
--- a/test/standin/engine/engine.go
+++ b/test/standin/engine/engine.go
@@ -1,6 +1,5 @@
-// Package engine stands in for a model engine: chat completions, whole and
-// streamed, with resume, cancel, priorities, load reports, a prefix cache and
-// faults to order.
+// Package engine implements a fake model engine for tests. It supports chat completions with and
+// without streaming, resume, cancel, priorities, load reports, a prefix cache and fault injection.
 package engine
 
 import (
@@ -18,24 +17,24 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/web"
 )
 
-// DefaultCacheChats is the number of chats whose prefix an engine holds.
+// DefaultCacheChats is the default size of the prefix cache, in chats.
 const DefaultCacheChats = 1024
 
-// keptStreams is how many finished streams can still be resumed.
+// keptStreams is the number of finished streams that can still be resumed.
 const keptStreams = 256
 
 // Server is one engine.
 type Server struct {
-	// Name is the backend server's name, repeated in its answers.
+	// Name is the backend server's name. Its responses contain it.
 	Name string
-	// Tokens is the length of an answer.
+	// Tokens is the number of tokens of a response.
 	Tokens int
-	// Padding is the number of bytes that each event holds besides, so that a caller's
-	// buffers fill with few of them.
+	// Padding is the number of extra bytes in each event, so that a few events fill a caller's
+	// buffers.
 	Padding int
 	// Interval is the time between tokens.
 	Interval time.Duration
-	// CacheChats is the number of chats whose prefix it holds.
+	// CacheChats is the size of the prefix cache, in chats. 0 means DefaultCacheChats.
 	CacheChats int
 
 	once   sync.Once
@@ -48,20 +47,20 @@
 	leaving     bool
 	sequence    int
 	streams     map[string]*stream
-	// done are the finished streams that are still kept, the oldest first.
+	// done holds the finished streams that can still be resumed, the oldest first.
 	done  []*stream
 	stats Stats
 }
 
-// Stats is what an engine counted.
+// Stats holds the counters of an engine.
 type Stats struct {
-	// Runs counts the requests that were started, by idempotency key or else by
-	// request id.
+	// Runs counts the runs of each request by its idempotency key, or by its request ID if it
+	// has no key.
 	Runs map[string]int `json:"runs"`
-	// Hits and Misses count turns whose chat's prefix was in the cache or not.
+	// Hits and Misses count the requests whose chat's prefix was or was not in the cache.
 	Hits   int `json:"hits"`
 	Misses int `json:"misses"`
-	// InFlight is the number of answers being sent.
+	// InFlight is the number of responses in progress.
 	InFlight  int `json:"in_flight"`
 	Cancelled int `json:"cancelled"`
 	Resumed   int `json:"resumed"`
@@ -87,7 +86,7 @@
 	s.mux.HandleFunc("POST /leave", s.leave)
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(s.init)
 	s.mux.ServeHTTP(w, r)
@@ -127,6 +126,7 @@
 	_, _ = fmt.Fprint(w, text)
 }
 
+// refuses reports whether the engine refuses the request, and then writes the response.
 func (s *Server) refuses(w http.ResponseWriter, f Fault) bool {
 	s.mu.Lock()
 	leaving := s.leaving
@@ -144,7 +144,7 @@
 	return true
 }
 
-// begin counts a run and registers its stream.
+// begin counts a run and creates its stream.
 func (s *Server) begin(r *http.Request, streamed bool) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +193,7 @@
 	return membership.Live
 }
 
-// follow sends the stream's events after the given number.
+// follow sends the events of the stream that follow event number after.
 func (s *Server) follow(w http.ResponseWriter, r *http.Request, st *stream, after int, f Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(proxy.HeaderStreamID, st.id)
@@ -220,8 +220,8 @@
 	s.finished(st)
 }
 
-// finished keeps a stream that was sent to its end for a while: what was sent may
-// not have arrived, and is then asked for again.
+// finished retains a completely sent stream until keptStreams later ones have finished. Its last
+// events may not have arrived, and the reader then resumes the stream.
 func (s *Server) finished(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +233,7 @@
 	}
 }
 
-// strike carries out the faults that end or hold a connection.
+// strike applies the faults that close or block a connection.
 func (s *Server) strike(r *http.Request, f Fault, next int) {
 	if next <= f.After {
 		return
@@ -305,7 +305,7 @@
 	_ = json.NewEncoder(w).Encode(s.stats)
 }
 
-// Stats returns a copy of the counts.
+// Stats returns a copy of the counters.
 func (s *Server) Stats() Stats {
 	s.once.Do(s.init)
 	s.mu.Lock()
--- a/test/standin/engine/fault.go
+++ b/test/standin/engine/fault.go
@@ -8,49 +8,49 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/web"
 )
 
-// FaultKind is a way in which an engine misbehaves.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The faults.
+// The kinds of faults.
 const (
 	// Cut closes the connection after After events.
 	Cut FaultKind = "cut"
-	// Freeze says nothing more after After events, and keeps the connection.
+	// Freeze sends nothing after After events and keeps the connection open.
 	Freeze FaultKind = "freeze"
-	// Skip leaves the event with number After out.
+	// Skip omits the event with number After.
 	Skip FaultKind = "skip"
 	// Repeat sends the event with number After twice.
 	Repeat FaultKind = "repeat"
-	// NoEnd ends the answer properly framed, but without the end mark.
+	// NoEnd ends the response with correct framing but without the end marker.
 	NoEnd FaultKind = "no-end"
-	// Swallow reads the whole request, works on it and closes without an answer.
+	// Swallow reads the whole request, runs it and closes the connection without a response.
 	Swallow FaultKind = "swallow"
-	// Late answers only after Delay.
+	// Late delays the response by Delay.
 	Late FaultKind = "late"
-	// Refuse says that the request was not started.
+	// Refuse sends a response that states that the request was not started.
 	Refuse FaultKind = "refuse"
-	// Busy answers a bare 503, which says nothing of whether it started.
+	// Busy sends a bare 503, which leaves open whether the request was started.
 	Busy FaultKind = "busy"
-	// Restart closes the connection after After events and forgets every stream.
+	// Restart closes the connection after After events and drops all streams.
 	Restart FaultKind = "restart"
 )
 
-// Fault is one fault that strikes the next answers.
+// Fault is one fault, which applies to the next responses.
 type Fault struct {
 	Kind  FaultKind     `json:"kind"`
 	After int           `json:"after,omitempty"`
 	Delay time.Duration `json:"delay,omitempty"`
-	// Times is the number of answers it strikes; 0 is one.
+	// Times is the number of responses to which the fault applies. 0 means 1.
 	Times int `json:"times,omitempty"`
 }
 
-// FaultSwitch holds the fault that is in force.
+// FaultSwitch holds the current fault.
 type FaultSwitch struct {
 	mu    sync.Mutex
 	fault Fault
 }
 
-// Set makes the next answers misbehave; an empty kind heals.
+// Set sets the fault for the next responses. An empty kind removes it.
 func (s *FaultSwitch) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 	s.fault = f
 }
 
-// Next takes the fault of one answer.
+// Next returns the fault for one response and counts it against Times.
 func (s *FaultSwitch) Next() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return f
 }
 
-// ServeHTTP sets the fault that the body holds as JSON.
+// ServeHTTP sets the fault from the JSON body of the request.
 func (s *FaultSwitch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if !web.Read(w, r, &f) {
@@ -80,10 +80,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetFault makes the next answers misbehave; an empty kind heals the engine.
+// SetFault sets the fault for the next responses. An empty kind removes it.
 func (s *Server) SetFault(f Fault) { s.faults.Set(f) }
 
-// restart forgets what a new process would not know.
+// restart drops the state that doesn't survive a restart of the process.
 func (s *Server) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/standin/engine/stream.go
+++ b/test/standin/engine/stream.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// stream is one answer in the making. It goes on without a reader until it is
-// cancelled, so that a reader whose connection broke can resume it.
+// stream is one streamed response. It continues without a reader until it is cancelled, so that a
+// reader can resume it after its connection broke.
 type stream struct {
 	id     string
 	ctx    context.Context
 	cancel context.CancelFunc
 	begun  time.Time
-	// tokens and interval tell which events exist at a time.
+	// tokens and interval determine which events exist at a given time.
 	tokens   int
 	interval time.Duration
 	padding  string
--- a/test/standin/gate/gate.go
+++ b/test/standin/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate stands before a stand-in and lets it be away, slow, or forgetful of its
-// answers, for all callers or some.
+// Package gate injects faults into the calls of a fake server: the server is unreachable, slow or
+// loses responses, for all callers or some.
 package gate
 
 import (
@@ -13,37 +13,38 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/web"
 )
 
-// Faults are what is wrong. They are set whole.
+// Faults is a set of faults. A new set replaces the previous one completely.
 type Faults struct {
-	// Down breaks every call, and the watches that wait.
+	// Down closes the connection of every call and of the pending watches.
 	Down bool `json:"down,omitempty"`
-	// Silent leaves every call without an answer, on an open connection.
+	// Silent sends no response to any new call and keeps its connection open. Pending watches
+	// are closed.
 	Silent bool `json:"silent,omitempty"`
-	// Busy turns every call away: with 503, or with 429 if Many is set as well.
+	// Busy refuses every call with status 503, or with 429 if Many is set as well.
 	Busy bool `json:"busy,omitempty"`
 	Many bool `json:"many,omitempty"`
-	// Only limits these three to callers from these IP addresses.
+	// Only limits Down, Silent and Busy to callers from these IP addresses.
 	Only []string `json:"only,omitempty"`
-	// Delay comes before every call is carried out, unless the faults change.
+	// Delay is the delay before each call. It ends early if the faults change.
 	Delay config.Duration `json:"delay,omitempty"`
-	// LoseAnswers is the number of writes that take effect without an answer.
+	// LoseAnswers is the number of writes that take effect and get no response.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// LoseWrites is the number of writes that get no answer and take no effect.
+	// LoseWrites is the number of writes that take no effect and get no response.
 	LoseWrites int `json:"lose_writes,omitempty"`
 }
 
-// Gate carries the faults out.
+// Gate injects the faults.
 type Gate struct {
 	mu     sync.Mutex
 	faults Faults
-	// changed is closed when the faults change.
+	// changed is closed and replaced when the faults change.
 	changed chan struct{}
 }
 
 // New returns a gate without faults.
 func New() *Gate { return &Gate{changed: make(chan struct{})} }
 
-// SetFaults sets what is wrong, whole.
+// SetFaults replaces all faults.
 func (g *Gate) SetFaults(f Faults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -52,7 +53,7 @@
 	g.changed = make(chan struct{})
 }
 
-// ServeHTTP sets the faults that the body holds as JSON.
+// ServeHTTP replaces all faults by those in the JSON body of the request.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if web.Read(w, r, &f) {
@@ -60,15 +61,15 @@
 	}
 }
 
-// Current returns the faults and what is closed when they change.
+// Current returns the faults and a channel that is closed when they change.
 func (g *Gate) Current() (Faults, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.faults, g.changed
 }
 
-// Loses takes one of the writes whose answer is to be lost, and tells whether it
-// takes effect.
+// Loses reports whether the response to the next write is lost and whether the write takes effect.
+// It counts the write against LoseWrites or LoseAnswers.
 func (g *Gate) Loses() (lost, takesEffect bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,10 +85,11 @@
 	}
 }
 
-// Before puts the gate before next. Calls that spared picks pass whatever the faults.
-func (g *Gate) Before(next http.Handler, spared func(*http.Request) bool) http.Handler {
+// Before returns a handler that applies the faults to each call before it passes the call to next.
+// Faults don't affect the calls for which exempt returns true.
+func (g *Gate) Before(next http.Handler, exempt func(*http.Request) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !spared(r) {
+		if !exempt(r) {
 			g.delay(r)
 			f, changed := g.Current()
 			if f.concerns(r) {
@@ -111,7 +113,7 @@
 	}
 }
 
-// concerns tells whether the stand-in is away for a call.
+// concerns reports whether Down, Silent or Busy applies to a call.
 func (f Faults) concerns(r *http.Request) bool {
 	if !f.Down && !f.Silent && !f.Busy {
 		return false
@@ -120,7 +122,7 @@
 	return len(f.Only) == 0 || slices.Contains(f.Only, host)
 }
 
-// turnAway lets a call go without an answer, or with one that says so.
+// turnAway ends a call to which Down, Silent or Busy applies.
 func turnAway(w http.ResponseWriter, r *http.Request, f Faults, changed <-chan struct{}) {
 	switch {
 	case f.Down:
--- a/test/standin/main.go
+++ b/test/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs one small stand-in for a system outside the fleet.
+// Command standin runs a fake of one external system for tests and examples: the platform, a model
+// engine or a plain service.
 package main
 
 import (
@@ -22,14 +23,14 @@
 type cli struct {
 	Listen string `default:"127.0.0.1:0" help:"Address to listen on."`
 
-	Platform platformCommand `cmd:"" help:"Stand in for the platform."`
-	Engine   engineCommand   `cmd:"" help:"Stand in for a model engine."`
-	Plain    plainCommand    `cmd:"" help:"Stand in for a plain service."`
+	Platform platformCommand `cmd:"" help:"Run a fake platform."`
+	Engine   engineCommand   `cmd:"" help:"Run a fake model engine."`
+	Plain    plainCommand    `cmd:"" help:"Run a fake backend server of a plain service."`
 }
 
 type platformCommand struct{}
 
-// Run serves the platform.
+// Run runs the fake platform.
 func (platformCommand) Run(c *cli) error { return serve(c.Listen, platform.New()) }
 
 type engineCommand struct {
@@ -38,7 +39,7 @@
 	Interval time.Duration `default:"20ms"`
 }
 
-// Run serves an engine.
+// Run runs a fake engine.
 func (e engineCommand) Run(c *cli) error {
 	return serve(c.Listen, &engine.Server{Name: e.Name, Tokens: e.Tokens, Interval: e.Interval})
 }
@@ -47,11 +48,12 @@
 	Name string `required:""`
 }
 
-// Run serves a plain service.
+// Run runs a fake backend server of a plain service.
 func (p plainCommand) Run(c *cli) error { return serve(c.Listen, &plain.Server{Name: p.Name}) }
 
-// serve serves until a signal. The signals are asked for: a shell's background hands
-// on an ignored interrupt, which would leave the stand-in running.
+// serve serves HTTP until the process receives an interrupt or SIGTERM. It registers for both
+// signals explicitly because a background job of a shell inherits an ignored interrupt, which would
+// leave the process running.
 func serve(address string, h http.Handler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/test/standin/main_test.go
+++ b/test/standin/main_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// asStandin makes the test's program run as the stand-in.
+// asStandin is the environment variable that makes the test binary run the command instead of the
+// tests.
 const asStandin = "EBONYDYKE_TEST_AS_STANDIN"
 
 func TestMain(m *testing.M) {
@@ -23,9 +24,9 @@
 	os.Exit(m.Run())
 }
 
-// A script that starts tests in its background hands them an ignored interrupt, and
-// they hand it on. The sessions end their stand-ins by an interrupt: these ignored it,
-// and the sessions waited for their end without end.
+// Guards against a process that can't be stopped by an interrupt. Tests that a script starts in the
+// background inherit an ignored interrupt and pass it on to the processes that they start. The
+// session tests stop these by an interrupt and waited forever.
 func TestEndsByAnInterruptThatItsParentIgnores(t *testing.T) {
 	signal.Ignore(os.Interrupt)
 	t.Cleanup(func() { signal.Reset(os.Interrupt) })
@@ -47,6 +48,6 @@
 	case err := <-ended:
 		require.NoError(t, err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the stand-in goes on after an interrupt")
+		t.Fatal("the process still runs after an interrupt")
 	}
 }
--- a/test/standin/plain/plain.go
+++ b/test/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain stands in for a plain service, some of whose calls may not be
-// repeated: it counts how often each was run.
+// Package plain implements a fake backend server of a plain service. It counts the runs of each
+// request, so that tests can check that a non-idempotent request ran at most once.
 package plain
 
 import (
@@ -16,7 +16,7 @@
 
 // Server is one backend server of a plain service.
 type Server struct {
-	// Name is repeated in the answers.
+	// Name is the backend server's name. Its responses contain it.
 	Name string
 
 	faults engine.FaultSwitch
@@ -24,7 +24,7 @@
 	runs   map[string]int
 }
 
-// ServeHTTP answers one call. Paths under /standin are the test's.
+// ServeHTTP handles one call. The paths under /standin control the server from a test.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/standin/fault":
@@ -60,7 +60,7 @@
 	_, _ = fmt.Fprintf(w, "%s %s by %s\n", r.Method, r.URL.Path, s.Name)
 }
 
-// count notes a run under the idempotency key, or else the request's id.
+// count counts a run of the request by its idempotency key, or by its request ID if it has no key.
 func (s *Server) count(r *http.Request) {
 	key := r.Header.Get(proxy.HeaderKey)
 	if key == "" {
@@ -74,7 +74,7 @@
 	s.runs[key]++
 }
 
-// Runs tells how often each request was run, by key or else by id.
+// Runs returns the number of runs of each request by its idempotency key or request ID.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,5 +85,5 @@
 	return runs
 }
 
-// SetFault makes the next answers misbehave.
+// SetFault sets the fault for the next responses.
 func (s *Server) SetFault(f engine.Fault) { s.faults.Set(f) }
--- a/test/standin/web/web.go
+++ b/test/standin/web/web.go
@@ -1,4 +1,4 @@
-// Package web reads and writes the JSON bodies of the stand-ins' calls.
+// Package web reads and writes the JSON bodies of the fake servers' calls.
 package web
 
 import (
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// Read reads the body into v. It answers a body that cannot be read with 400, and
-// tells whether it could.
+// Read decodes the JSON body of the request into v and reports whether that succeeded. If not, it
+// responds with status 400.
 func Read(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -16,7 +16,7 @@
 	return true
 }
 
-// Reply answers with a status and v.
+// Reply responds with a status and with v as the JSON body.
 func Reply(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
