--- a/cmd/ebonymeasure/main.go
+++ b/cmd/ebonymeasure/main.go
@@ -1,5 +1,5 @@
-// Command ebonymeasure judges the core's decisions against baselines and an oracle,
-// in virtual time. It is for developers; the same seed gives the same figures.
+// Command ebonymeasure compares the core's decisions with baselines and an oracle, in
+// virtual time. It is a tool for developers; the same seed gives the same figures.
 package main
 
 import (
@@ -18,10 +18,10 @@
 
 type options struct {
 	Out      string   `help:"Folder for figures.jsonl and curve.png." default:"out/measure"`
-	Seed     uint64   `help:"Seed of the runs." default:"1"`
-	Scenario []string `help:"Scenarios to run; all when empty, 'curve' among them."`
+	Seed     uint64   `help:"Random seed of the runs." default:"1"`
+	Scenario []string `help:"Scenarios to run; all when empty, including 'curve'."`
 	Policy   []string `help:"Policies to run; all when empty."`
-	Parallel int      `help:"Runs at a time." default:"4"`
+	Parallel int      `help:"Number of concurrent runs." default:"4"`
 }
 
 type run struct {
@@ -31,7 +31,7 @@
 
 func main() {
 	var o options
-	ctx := kong.Parse(&o, kong.Description("Judges the core's decisions against baselines and an oracle."))
+	ctx := kong.Parse(&o, kong.Description("Compares the core's decisions with baselines and an oracle."))
 	ctx.FatalIfErrorf(o.run())
 }
 
@@ -53,7 +53,7 @@
 	return plotCurve(curve, figures)
 }
 
-// runs lists the runs asked for.
+// runs lists the selected runs.
 func (o *options) runs() []run {
 	wanted := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	var list []run
@@ -67,7 +67,7 @@
 	return list
 }
 
-// play runs them a few at a time and returns their figures in order.
+// play executes the runs, at most Parallel at a time, and returns their figures in order.
 func (o *options) play(runs []run) ([]measure.Figures, error) {
 	figures := make([]measure.Figures, len(runs))
 	var group errgroup.Group
@@ -81,6 +81,7 @@
 	return figures, group.Wait()
 }
 
+// writeLines writes the figures as one JSON object a line.
 func writeLines(path string, figures []measure.Figures) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/ebonymeasure/plot.go
+++ b/cmd/ebonymeasure/plot.go
@@ -17,7 +17,7 @@
 	"oracle":    color.RGBA{A: 255},
 }
 
-// plotCurve draws reuse and worst skew over the bound, if the curve was run.
+// plotCurve plots reuse and p99 skew against the bound, if the curve was run.
 func plotCurve(path string, figures []measure.Figures) error {
 	p := plot.New()
 	p.Title.Text = "Cache reuse and p99 skew over the bound"
--- a/cmd/ebonysoak/main.go
+++ b/cmd/ebonysoak/main.go
@@ -1,5 +1,5 @@
-// Command ebonysoak strikes a fleet of real processes with faults and checks the
-// promises from outside. It ends with 1 if one did not hold.
+// Command ebonysoak injects faults into a fleet of real processes and checks the guarantees
+// from outside. It exits with status 1 if one did not hold.
 package main
 
 import (
@@ -22,31 +22,31 @@
 type cli struct {
 	Seed      uint64        `default:"1" help:"First seed."`
 	Seeds     int           `default:"1" help:"Number of seeds, one soak after the other."`
-	Instances int           `default:"6" help:"Processes of the fleet."`
-	Backends  int           `default:"9" help:"Backend servers."`
-	Callers   int           `default:"24" help:"Callers at once."`
-	Duration  time.Duration `default:"12s" help:"How long faults come."`
+	Instances int           `default:"6" help:"Number of instances."`
+	Backends  int           `default:"9" help:"Number of backend servers."`
+	Callers   int           `default:"24" help:"Number of concurrent callers."`
+	Duration  time.Duration `default:"12s" help:"How long faults are injected."`
 	Logs      string        `default:"out/soak" help:"Folder for the processes' logs."`
-	Binary    string        `help:"The daemon; built from this tree if left out."`
+	Binary    string        `help:"Path of the daemon; built from this tree if empty."`
 }
 
 func main() {
 	var c cli
-	kong.Parse(&c, kong.Description("A fault soak of real processes."))
-	// A closed terminal is among them: the daemons take SIGHUP for a reload, and would
-	// outlive a soak that it ended.
+	kong.Parse(&c, kong.Description("Runs a fleet of real processes under faults and checks its guarantees."))
+	// SIGHUP, which a closed terminal sends, is handled too: the daemons reload on SIGHUP and
+	// would outlive a soak that it ended.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
-	broken, err := c.run(ctx)
+	violated, err := c.run(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if err != nil || broken {
+	if err != nil || violated {
 		os.Exit(1)
 	}
 }
 
-func (c *cli) run(ctx context.Context) (broken bool, err error) {
+func (c *cli) run(ctx context.Context) (violated bool, err error) {
 	binary, err := c.build()
 	if err != nil {
 		return false, err
@@ -54,28 +54,28 @@
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds) && ctx.Err() == nil; seed++ {
 		logs := filepath.Join(c.Logs, fmt.Sprint("seed-", seed))
 		if err := os.RemoveAll(logs); err != nil {
-			return broken, err
+			return violated, err
 		}
 		if err := os.MkdirAll(logs, 0o700); err != nil {
-			return broken, err
+			return violated, err
 		}
 		result, err := soak.Run(ctx, soak.Options{
 			Binary: binary, Seed: seed, Instances: c.Instances, Backends: c.Backends, Callers: c.Callers,
 			Duration: c.Duration, Logs: logs,
 		})
 		if err != nil {
-			return broken, fmt.Errorf("seed %d: %w", seed, err)
+			return violated, fmt.Errorf("seed %d: %w", seed, err)
 		}
-		broken = broken || len(result.Violations) > 0
+		violated = violated || len(result.Violations) > 0
 		print(seed, result)
 	}
-	return broken, nil
+	return violated, nil
 }
 
 func print(seed uint64, r *soak.Result) {
 	fmt.Printf("seed %d: %d promises broken", seed, len(r.Violations))
-	for _, what := range slices.Sorted(maps.Keys(r.Counts)) {
-		fmt.Printf(", %s %d", what, r.Counts[what])
+	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
+		fmt.Printf(", %s %d", name, r.Counts[name])
 	}
 	fmt.Println()
 	for _, v := range r.Violations {
--- a/internal/measure/baselines.go
+++ b/internal/measure/baselines.go
@@ -9,7 +9,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/routing"
 )
 
-// Policies lists the policies by name, the oracle last.
+// Policies lists the names of the policies; the oracle is last.
 var Policies = []string{
 	"random", "round-robin", "least-late", "two-choices", "rendezvous",
 	"bound-late", "bound-routers", "bound-exact", "ours", "ours-hint", "oracle",
@@ -34,7 +34,7 @@
 		"two-choices": b.twoChoices,
 		"rendezvous":  func(t *turn) int { return b.walk(t, nil) },
 		"bound-late":  func(t *turn) int { return b.walk(t, b.late) },
-		// Each router takes itself for a fair sample of all routers.
+		// Each router assumes that every other router sends as much as it does.
 		"bound-routers": func(t *turn) int { return b.walk(t, b.scaled) },
 		"bound-exact": func(t *turn) int {
 			return b.walk(t, func(_ *turn, s int) float64 { return float64(w.servers[s].load()) })
@@ -44,16 +44,20 @@
 	return b
 }
 
-// baseline is a policy to compare with. It knows the platform's list as late as the
-// nodes do, but for the oracle, which sees everything at once.
+// baseline is a policy that the core's decisions are compared with. It receives the
+// platform's list with the same delay as the nodes, except for the oracle, which uses
+// the exact current state.
 type baseline struct {
-	w      *world
-	own    [][]int
-	past   [][][historySize]int
-	slot   int
+	w *world
+	// own counts the turns in progress by router and backend server; past holds the same
+	// counts over the last reportLag, the oldest at slot.
+	own  [][]int
+	past [][][historySize]int
+	slot int
+	// turns counts the turns of each router, for round-robin.
 	turns  []int
 	choose func(t *turn) int
-	// list holds the indexes of the backend servers that may be chosen.
+	// list holds the indexes of the backend servers that the current turn may use.
 	list       []int
 	candidates []routing.Candidate
 }
@@ -103,12 +107,12 @@
 	return b.turns[t.router.index] % len(b.list)
 }
 
-// leastLate takes the least load that the late reports show.
+// leastLate returns the choice with the lowest reported load.
 func (b *baseline) leastLate(*turn) int {
 	return b.least(func(s int) float64 { return float64(b.w.servers[s].reported()) })
 }
 
-// least returns the choice of the least load; equal ones by chance.
+// least returns the choice with the lowest load and breaks ties at random.
 func (b *baseline) least(load func(s int) float64) int {
 	best, start := -1, b.w.random.IntN(len(b.list))
 	for k := range b.list {
@@ -128,21 +132,23 @@
 	return i
 }
 
-// late is the late report and what this router sent since.
+// late returns the reported load plus the turns that this router has sent since the report.
 func (b *baseline) late(t *turn, s int) float64 {
 	r := t.router.index
 	since := b.own[r][s] - b.past[r][s][b.slot]
 	return float64(b.w.servers[s].reported() + max(0, since))
 }
 
+// scaled returns the reported load plus the turns that this router has sent since the
+// report, multiplied by the number of routers.
 func (b *baseline) scaled(t *turn, s int) float64 {
 	r := t.router.index
 	since := b.own[r][s] - b.past[r][s][b.slot]
 	return math.Max(0, float64(b.w.servers[s].reported()+since*len(b.w.routers)))
 }
 
-// walk is the core's own walk, with the given knowledge of loads; with none there
-// is no bound.
+// walk ranks the backend servers as the core does and applies the bound to the given
+// loads. Without loads there is no bound.
 func (b *baseline) walk(t *turn, load func(t *turn, s int) float64) int {
 	b.candidates = b.candidates[:0]
 	total := 0.0
@@ -154,22 +160,22 @@
 		}
 		b.candidates = append(b.candidates, c)
 	}
-	chat := rendezvous.Hash(t.chat.id)
-	choice := routing.Choice{Chat: chat, Hinted: routing.None}
-	choice.Limits = routing.ChatLimits(b.w.Bound, total, len(b.list), chat, routing.Unhinted)
+	chatHash := rendezvous.Hash(t.chat.id)
+	choice := routing.Choice{Chat: chatHash, Hinted: routing.None}
+	choice.Limits = routing.ChatLimits(b.w.Bound, total, len(b.list), chatHash, routing.Unhinted)
 	return max(0, routing.Pick(b.candidates, &choice))
 }
 
-// oracle goes where most of the prefix is cached within the bound, else to the
-// least load, with exact knowledge of both.
+// oracle chooses the backend server that has cached the most of the prefix and stays
+// within the bound, or else the one with the lowest load. It uses exact caches and loads.
 func (b *baseline) oracle(t *turn) int {
 	limit := b.w.limit()
 	load := func(s int) float64 { return float64(b.w.servers[s].load()) }
-	best, most := -1, 0
+	best, mostCached := -1, 0
 	for k, i := range b.list {
 		s := b.w.servers[i]
-		if found := s.cache.get(t.chat); found > most && s.state == membership.Live && load(i)+1 <= limit {
-			best, most = k, found
+		if tokens := s.cache.get(t.chat); tokens > mostCached && s.state == membership.Live && load(i)+1 <= limit {
+			best, mostCached = k, tokens
 		}
 	}
 	if best >= 0 {
--- a/internal/measure/engine.go
+++ b/internal/measure/engine.go
@@ -7,8 +7,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// The fake engine's speeds, in tokens a second, and at how many times its mean load
-// it has become half as fast: continuous batching shares one accelerator.
+// The fake engine's speeds in tokens a second, and the multiple of its mean load at which
+// it runs at half speed: continuous batching shares one accelerator between the requests.
 const (
 	prefillRate = 8000.0
 	decodeRate  = 60.0
@@ -16,24 +16,24 @@
 )
 
 const (
-	// reportLag is how late the report of a chats' engine tells its load.
+	// reportLag is the age of the load that an engine reports in the chat scenarios.
 	reportLag = 2 * time.Second
-	// historyStep is the time between two notes of an engine's load.
+	// historyStep is the interval between two samples of an engine's load.
 	historyStep = 100 * time.Millisecond
-	// historySize is how far back the baselines know an engine's load.
+	// historySize is the number of samples that the baselines keep.
 	historySize = int(reportLag / historyStep)
 )
 
-// EngineSpeed is how fast an engine reads and writes.
+// EngineSpeed holds the speed of an engine and the delay of its load report.
 type EngineSpeed struct {
-	// Prefill and Decode are tokens a second of one request alone.
+	// Prefill and Decode are the tokens a second of a request that runs alone.
 	Prefill, Decode float64
-	// HalfAt is the number of requests at which each is half as fast.
+	// HalfAt is the number of concurrent requests at which each runs at half speed.
 	HalfAt float64
-	// ReportLag is how late the engine's own report tells its load.
+	// ReportLag is the age of the load that the engine reports.
 	ReportLag time.Duration
-	// ReadingSlows is how much longer a step takes while the engine does nothing but
-	// read prompts.
+	// ReadingSlows is the relative increase in the duration of a decode step while the
+	// engine is fully occupied with prefill.
 	ReadingSlows float64
 }
 
@@ -48,33 +48,34 @@
 	return s.engineSpeed().ReportLag
 }
 
-// server is a small fake of a model engine: a prefix cache of limited size, a
-// service rate and a report that lags.
+// server is a fake model engine with a prefix cache of limited size, a service rate and
+// a delayed load report.
 type server struct {
 	name        string
 	hash        uint64
 	zone        string
 	incarnation uint64
 	state       membership.State
-	// listed is what the platform's late list says.
+	// listed is the entry in the platform's list, which lags behind state.
 	listed  membership.Member
 	speed   EngineSpeed
 	cache   *prefixCache
 	running []*turn
-	// history holds the loads over the report's lag, the oldest at next.
+	// history holds the load samples of the last ReportLag, the oldest at next.
 	history []int
 	next    int
-	// readUntil is when the prompts that wait are read, and reading the part of the
-	// last moments that went into reading: both for sessions alone.
+	// readUntil is when the prefill of all queued prompts ends. reading is the share of
+	// the recent time that was spent on prefill. Only session requests use them.
 	readUntil time.Duration
 	reading   float64
 }
 
 func (s *server) load() int { return len(s.running) }
 
-// reported is the load as the engine's own late report tells it.
+// reported returns the load in the engine's delayed report.
 func (s *server) reported() int { return s.history[s.next] }
 
+// instance returns the entry of this backend server in the platform's list.
 func (s *server) instance() membership.Member {
 	return membership.Member{
 		Name: s.name, Role: membership.RoleBackend, Service: serviceName, Zone: s.zone, Address: s.name,
@@ -88,38 +89,38 @@
 	s.next = (s.next + 1) % len(s.history)
 }
 
-// start runs a turn and returns when its first token comes and when it ends.
+// start runs a turn and returns the times until its first token and until its end.
 func (s *server) start(t *turn, now time.Duration) (first, end time.Duration) {
 	t.cached = min(t.prefix, s.cache.get(t.chat))
-	slow := 1 + float64(s.load())/s.speed.HalfAt
+	slowdown := 1 + float64(s.load())/s.speed.HalfAt
 	t.index = len(s.running)
 	s.running = append(s.running, t)
 	if t.chat.kind != nil {
-		return s.startInTurn(t, now, slow)
+		return s.startInTurn(t, now, slowdown)
 	}
-	first = seconds(slow * float64(t.prefix+t.fresh-t.cached) / s.speed.Prefill)
-	return first, first + seconds(slow*float64(t.output)/s.speed.Decode)
+	first = seconds(slowdown * float64(t.prefix+t.fresh-t.cached) / s.speed.Prefill)
+	return first, first + seconds(slowdown*float64(t.output)/s.speed.Decode)
 }
 
-// What reading prompts costs the streams: an engine reads one prompt after the other,
-// in chunks between the steps that write, and such a step takes longer.
+// The cost of prefill to the running streams: an engine processes one prompt after the
+// other, in chunks between its decode steps, and a step with a chunk takes longer.
 const (
-	// readingSpan is over what time the reading is taken: about a third of a stream's
-	// length. readingKept is what one historyStep leaves of it.
+	// readingSpan is the time over which the share of prefill is averaged, about a third
+	// of a stream's duration. readingKept is the factor by which it decays each historyStep.
 	readingSpan = 300 * time.Millisecond
 	readingKept = 0.7
 )
 
-// startInTurn is start for an engine that reads prompts one after the other. In a
-// fleet with cold caches that is what crowds servers: those whose sessions have long
-// prompts fall behind, and their requests stay.
-func (s *server) startInTurn(t *turn, now time.Duration, slow float64) (first, end time.Duration) {
-	read := seconds(float64(t.prefix+t.fresh-t.cached) / s.speed.Prefill)
-	s.readUntil = max(s.readUntil, now) + read
+// startInTurn is the variant of start for an engine that prefills one prompt after the
+// other. In a fleet with cold caches this overloads the backend servers whose sessions
+// have long prompts: their prefill queues grow, and requests stay in progress longer.
+func (s *server) startInTurn(t *turn, now time.Duration, slowdown float64) (first, end time.Duration) {
+	prefill := seconds(float64(t.prefix+t.fresh-t.cached) / s.speed.Prefill)
+	s.readUntil = max(s.readUntil, now) + prefill
 	first = s.readUntil - now
-	slow *= 1 + s.speed.ReadingSlows*min(1, s.reading)
-	s.reading += float64(read) / float64(readingSpan)
-	return first, first + seconds(slow*float64(t.output)/s.speed.Decode)
+	slowdown *= 1 + s.speed.ReadingSlows*min(1, s.reading)
+	s.reading += float64(prefill) / float64(readingSpan)
+	return first, first + seconds(slowdown*float64(t.output)/s.speed.Decode)
 }
 
 func (s *server) stop(t *turn) {
@@ -130,7 +131,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// prefixCache keeps the prefixes of the chats used last, up to a number of tokens.
+// prefixCache is an LRU cache of chat prefixes, limited by their total tokens.
 type prefixCache struct {
 	limit, used int
 	order       *list.List
--- a/internal/measure/faults.go
+++ b/internal/measure/faults.go
@@ -6,7 +6,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/membership"
 )
 
-// The pace of the faults, whatever the size of the fleet.
+// Intervals and durations of the faults; they do not depend on the size of the fleet.
 const (
 	leaveEvery  = time.Minute
 	leaveFor    = time.Minute
@@ -28,7 +28,7 @@
 	}
 }
 
-// drawServer returns a live backend server.
+// drawServer returns a random live backend server.
 func (w *world) drawServer() *server {
 	for {
 		if s := w.servers[w.random.IntN(len(w.servers))]; s.state == membership.Live {
@@ -37,8 +37,8 @@
 	}
 }
 
-// leaveAndJoin lets a backend server leave as planned; another process joins in its
-// place later, with an empty cache.
+// leaveAndJoin drains and ends a random backend server. A new process with an empty
+// cache replaces it later.
 func (w *world) leaveAndJoin() {
 	s := w.drawServer()
 	w.change(s, membership.Leaving)
@@ -46,7 +46,7 @@
 	w.after(leaveFor, func() { w.join(s) })
 }
 
-// flap crashes a backend server and brings it back, a few times in a row.
+// flap crashes and restarts a backend server the given number of times.
 func (w *world) flap(s *server, times int) {
 	w.crash(s)
 	w.after(flapFor, func() { w.join(s) })
@@ -64,25 +64,25 @@
 	w.change(s, membership.Live)
 }
 
-// change sets a backend server's state; the platform lists it listLag later.
+// change sets a backend server's state. The platform's list shows it listLag later.
 func (w *world) change(s *server, state membership.State) {
 	s.state = state
 	listed := s.instance()
 	w.after(listLag, func() { s.listed = listed })
 }
 
-// crash ends a process at once: its requests break off and its cache is lost.
+// crash ends a backend server's process at once. Its requests fail and its cache is lost.
 func (w *world) crash(s *server) {
 	if s.state == membership.Gone {
 		return
 	}
 	w.change(s, membership.Gone)
-	broken := s.running
+	interrupted := s.running
 	s.running = nil
-	for _, t := range broken {
+	for _, t := range interrupted {
 		t.attempt++
-		srv, wait := w.policy.failed(t, true)
-		w.placed(t, srv, wait)
+		srv, retryAfter := w.policy.failed(t, true)
+		w.placed(t, srv, retryAfter)
 	}
 }
 
@@ -90,7 +90,7 @@
 	w.policy.replaced(w.routers[w.random.IntN(len(w.routers))])
 }
 
-// loseZone takes the backend servers of one availability zone and its routers away.
+// loseZone stops the backend servers and routers of one availability zone for zoneLostFor.
 func (w *world) loseZone() {
 	const lost = 1
 	for i, s := range w.servers {
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -12,7 +12,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// Delays of the world round the nodes.
+// Delays of the simulated surroundings of the nodes.
 const (
 	linkDelay     = time.Millisecond
 	platformDelay = 5 * time.Millisecond
@@ -24,7 +24,7 @@
 // epochStart is the virtual time at which every run starts.
 var epochStart = time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC)
 
-// process is one running core in a router's place.
+// process is one run of a router's process, with its core node.
 type process struct {
 	name        string
 	zone        string
@@ -35,7 +35,7 @@
 	retired     bool
 }
 
-// fleet is the policy under judgement: one real core node a router.
+// fleet is the policy under test: one real core node for each router.
 type fleet struct {
 	w         *world
 	hints     bool
@@ -48,7 +48,7 @@
 	started   uint64
 }
 
-// placing is a turn in progress at a node.
+// placing is the state of a turn in progress at a node.
 type placing struct {
 	process *process
 	attempt int
@@ -75,14 +75,14 @@
 }
 
 func configuration(s *Scenario) config.Envelope {
-	text := config.Text{Services: []config.Service{{
+	cfg := config.Text{Services: []config.Service{{
 		Name: serviceName, Kind: config.Model, FromPlatform: true,
 		SkewBound: s.Bound, SkewSlack: s.Slack, Capacity: s.Capacity, Deadline: config.Duration(5 * time.Minute),
 	}}}
 	for i, share := range customerShares {
-		text.Customers = append(text.Customers, config.Customer{Name: customerName(i), Weight: 100 * share})
+		cfg.Customers = append(cfg.Customers, config.Customer{Name: customerName(i), Weight: 100 * share})
 	}
-	body, err := json.Marshal(text)
+	body, err := json.Marshal(cfg)
 	if err != nil {
 		panic(err)
 	}
@@ -93,7 +93,7 @@
 
 func (f *fleet) now() time.Time { return epochStart.Add(f.w.now) }
 
-// start runs a new process in the router's place.
+// start starts a new process for the router.
 func (f *fleet) start(r *router) {
 	f.started++
 	p := &process{
@@ -113,8 +113,8 @@
 	f.handle(p, core.Ticked{})
 }
 
-// handle gives a node an event and carries its effects out. It returns the attempt
-// or the refusal that came at once, if any.
+// handle passes an event to a node and executes the effects. It returns the immediate
+// attempt or refusal, if any.
 func (f *fleet) handle(p *process, e core.Event) (attempt *core.SendAttempt, refused *core.Finish) {
 	for _, effect := range p.node.Handle(f.now(), e) {
 		switch e := effect.(type) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// list is the platform's lagging list.
+// list returns the platform's list, which lags behind the backend servers' states.
 func (f *fleet) list() []membership.Member {
 	list := make([]membership.Member, 0, len(f.w.servers)+len(f.processes))
 	for _, s := range f.w.servers {
@@ -206,15 +206,15 @@
 	f.placing[t] = &placing{process: p}
 	attempt, refused := f.handle(p, e)
 	if attempt == nil && refused == nil {
-		// The process has just started and keeps the turn waiting. The world knows no such
-		// wait, so the turn leaves and comes again.
+		// The process has just started and holds the turn. The simulation does not model
+		// that wait, so the caller cancels the turn and retries it.
 		_, refused = f.handle(p, core.CallerGone{Request: e.Request})
 		refused.RetryAfter = platformDelay
 	}
 	return f.follow(t, attempt, refused)
 }
 
-// follow turns what the core decided into the world's terms.
+// follow converts the core's decision to the results of the policy interface.
 func (f *fleet) follow(t *turn, attempt *core.SendAttempt, refused *core.Finish) (*server, time.Duration) {
 	pl := f.placing[t]
 	if attempt == nil {
@@ -229,7 +229,7 @@
 	return s, 0
 }
 
-// leave ends the turn's running attempt at its node.
+// leave reports the end of the turn's current attempt to its node.
 func (f *fleet) leave(t *turn, outcome retry.Outcome) (*core.SendAttempt, *core.Finish) {
 	pl := f.placing[t]
 	pl.process.inFlight--
@@ -265,7 +265,7 @@
 	f.handle(pl.process, core.AnswerStarted{Request: core.RequestID(t.id()), Attempt: pl.attempt, Load: &report})
 }
 
-// replaced starts a new process in the router's place; the old one ends what it has.
+// replaced starts a new process for the router; the old one finishes its turns.
 func (f *fleet) replaced(r *router) {
 	f.current[r.index].retired = true
 	f.start(r)
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -9,7 +9,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/measure"
 )
 
-// scenario returns a short form of the named one.
+// scenario returns a shortened version of the named scenario.
 func scenario(t *testing.T, name string, seed uint64) measure.Scenario {
 	t.Helper()
 	for _, s := range measure.Scenarios(seed) {
@@ -22,8 +22,8 @@
 	return measure.Scenario{}
 }
 
-// The figures judge decisions, so a change in them must come from a decision: the
-// same seed gives the same figures, whatever the order of maps.
+// Guards against figures that vary between runs, for example with the iteration order of
+// maps. With the same seed, only a change in decisions may change the figures.
 func TestSameSeedSameFigures(t *testing.T) {
 	t.Parallel()
 	s := scenario(t, "skew", 3)
@@ -32,34 +32,34 @@
 	require.Equal(t, first, measure.Run(s, "ours-hint"))
 }
 
-// Members' chats crowd on the engines that their rankings name: without the bound
-// the busiest engine carries more than half again the mean, and its analysts wait.
-// Nobody leaves or surges here; eight routers each see a sliver and hear of the
-// rest half a second late.
+// Guards against overloaded engines in steady traffic. Rendezvous hashing without a bound
+// gives the busiest engine more than 1.5 times the mean load. There is no churn or surge;
+// each of the eight routers sees a small part of the traffic and learns the rest half a
+// second late.
 func TestBoundHoldsInSteadyTraffic(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := scenario(t, "skew-steady", seed)
-		require.Greater(t, measure.Run(s, "rendezvous").P99, 1.5, "the fault shows without the bound")
+		require.Greater(t, measure.Run(s, "rendezvous").P99, 1.5, "without the bound, the overload occurs")
 		for _, policy := range []string{"ours", "ours-hint"} {
 			f := measure.Run(s, policy)
 			require.LessOrEqual(t, f.P99, s.Bound, "%s seed %d", policy, seed)
 			require.Less(t, f.Worst, 1.4, "%s seed %d", policy, seed)
-			require.LessOrEqual(t, f.OverMost, 2, "placed above what an observer allows, %s seed %d", policy, seed)
+			require.LessOrEqual(t, f.OverMost, 2, "placed above the limit from exact loads, %s seed %d", policy, seed)
 		}
 	}
 }
 
-// Two of ten customers surge tenfold while an engine leaves each minute, another
-// flaps and routers are replaced, so that for seconds they disagree about who
-// exists. Dispatchers would see one engine drown. The worst moment is the one when
-// an empty engine joins and the mean drops; the time above the bound stays short.
+// Guards against one overloaded engine while two of ten customers surge tenfold, an engine
+// leaves every minute, another flaps and routers are replaced. The routers' views of the
+// membership differ for seconds. The skew is highest when an empty engine joins and the
+// mean drops; the time above the bound stays short.
 func TestBoundUnderSurgeChurnAndDisagreement(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := scenario(t, "skew", seed)
-		without := measure.Run(s, "rendezvous")
-		require.Greater(t, without.Over, 0.4)
+		unbounded := measure.Run(s, "rendezvous")
+		require.Greater(t, unbounded.Over, 0.4)
 		for _, policy := range []string{"ours", "ours-hint"} {
 			f := measure.Run(s, policy)
 			require.Less(t, f.Worst, 1.6, "%s seed %d", policy, seed)
@@ -69,9 +69,9 @@
 	}
 }
 
-// Two of ten customers surge tenfold and the pool is full. The other eight's agents
-// would see refusals and blank screens for a rush that is not theirs: they are
-// served as in quiet time, and those who surge are refused.
+// Guards against refusals and long waits for customers that do not surge. Two of ten
+// customers surge tenfold and the pool is full: the surging customers are refused, and the
+// other eight are served as before the surge.
 func TestTheOthersAreServedThroughASurge(t *testing.T) {
 	t.Parallel()
 	s := scenario(t, "rush", 1)
@@ -83,18 +83,19 @@
 	require.Less(t, f.Rush.WaitP95, 1.5*f.Quiet.WaitP95)
 }
 
-// Traffic starts at 91 instances in three zones, none of which hears more than its own
-// zone's loads, before 90 engines with cold caches. Sessions crowd on engines that look
-// idle: without a bound a seventh of the requests of the worst five seconds goes over
-// the promise; three in a hundred are allowed.
+// Guards against overload after a cold start. Traffic starts at 91 instances in three
+// availability zones, which receive only their own zone's loads, for 90 engines with cold
+// caches. Sessions concentrate on engines that seem idle: without a bound, a seventh of the
+// requests in the worst five seconds are placed above the limit. 3% are allowed.
 func TestPromiseFromAColdStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := coldSessions(t, seed)
-		require.Greater(t, measure.Run(s, "rendezvous").WorstSeconds, 0.1, "the fault shows without the bound")
+		require.Greater(t, measure.Run(s, "rendezvous").WorstSeconds, 0.1, "without the bound, the overload occurs")
 		f := measure.Run(s, "ours")
 		require.Less(t, f.WorstSeconds, 0.02, "seed %d", seed)
-		// 0.842 and 0.845 before reports counted where zones stand apart.
+		// Reuse was 0.842 and 0.845 before load reports were used when the zones' loads are not
+		// exchanged.
 		require.Greater(t, f.Reuse, 0.85, "seed %d", seed)
 	}
 }
@@ -110,8 +111,9 @@
 	return measure.Scenario{}
 }
 
-// Engines come and go, and chats return: with hints their turns find nearly as much
-// of their prefix as one who sees every cache and load at once would find for them.
+// Guards against low cache reuse while engines join and leave. With hints, the turns of a
+// chat find nearly as much of their prefix in a cache as with the oracle, which uses exact
+// caches and loads.
 func TestReuseNearTheOracles(t *testing.T) {
 	t.Parallel()
 	s := scenario(t, "skew", 1)
--- a/internal/measure/scenarios.go
+++ b/internal/measure/scenarios.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// plenty is a capacity that no scenario without a limit reaches.
+// plenty is the capacity of scenarios without a capacity limit; no load reaches it.
 const plenty = 100_000
 
-// Scenarios returns the runs by which the decisions are judged.
+// Scenarios returns the scenarios in which the core's decisions are evaluated.
 func Scenarios(seed uint64) []Scenario {
 	reuse := Scenario{
 		Name: "reuse-churn", Seed: seed, Servers: 12, Routers: 8, Zones: 3, Mean: 16, Capacity: plenty, Bound: 1.25,
@@ -23,10 +23,10 @@
 	low := skew
 	low.Name, low.Mean = "skew-low", 9
 	large := skew
-	// One availability zone at the two-year size.
+	// One availability zone at the fleet size expected in two years.
 	large.Name, large.Servers, large.Routers, large.Zones = "skew-large", 148, 58, 1
 	large.Warmup, large.Duration = 2*time.Minute, 6*time.Minute
-	// Ten times as often as 290 a day in 350 instances.
+	// Ten times the expected rate of 290 replacements a day among 350 instances.
 	large.ReplaceEvery = 3 * time.Minute
 	full := large
 	full.Name, full.Mean = "skew-two-years", 65
@@ -38,15 +38,15 @@
 	return []Scenario{reuse, skew, steady, low, large, full, rush, lenderSessions(seed), feedstockSessions(seed)}
 }
 
-// CurveBounds are the bounds over which reuse is set against skew.
+// CurveBounds lists the bounds at which the curve compares reuse with skew.
 var CurveBounds = []float64{1.05, 1.1, 1.15, 1.2, 1.25, 1.3, 1.4, 1.5, 1.75, 2}
 
-// Plays tells whether the policy takes part in the scenario.
+// Plays reports whether the scenario is run with the policy.
 func (s *Scenario) Plays(policyName string) bool {
 	return len(s.Policies) == 0 || slices.Contains(s.Policies, policyName)
 }
 
-// Curve returns the runs of the curve: the skew scenario at each bound.
+// Curve returns the scenarios of the curve: the skew scenario at each bound.
 func Curve(seed uint64) []Scenario {
 	var list []Scenario
 	for _, bound := range CurveBounds {
--- a/internal/measure/sessions.go
+++ b/internal/measure/sessions.go
@@ -9,34 +9,35 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// SessionKind is one kind of request whose prompts share the parts of a session.
+// SessionKind is a kind of request whose prompts begin with the tokens of a session.
 type SessionKind struct {
 	Name string
 	// Rate is the number of requests a second in the whole fleet.
 	Rate float64
-	// Sessions is their number; the n-th is asked for in proportion to n^-Skew.
+	// Sessions is the number of sessions. The rate of the n-th is proportional to n^-Skew.
 	Sessions int
 	Skew     float64
-	// Shared and Fresh are the mean tokens of a prompt, the session's and its own.
+	// Shared and Fresh are the mean numbers of a prompt's tokens that belong to the session
+	// and to the request alone.
 	Shared, Fresh float64
 	// Output is the mean number of tokens generated.
 	Output float64
 }
 
-// The spread of the sizes, in the exponent of a log-normal draw: between those that the
-// users' sheet gives for the kinds below (0.4 to 0.7, 1.0 to 1.4 and 0.44 to 1.4).
+// The sigma of the log-normal sizes. The users' sheet gives the kinds below values of 0.4
+// to 0.7 (shared), 1.0 to 1.4 (fresh) and 0.44 to 1.4 (output).
 const (
 	sharedSpread = 0.6
 	freshSpread  = 1.0
 	outputSpread = 0.5
 )
 
-// lognormalOf draws with a mean of 1.
+// lognormalOf draws a log-normal value with a mean of 1.
 func lognormalOf(random *rand.Rand, sigma float64) float64 {
 	return lognormal(random, sigma) * math.Exp(-sigma*sigma/2)
 }
 
-// sessions draws the sessions of a kind.
+// sessions creates the sessions of a kind.
 func (w *world) sessions(k *SessionKind, kind int) []*chat {
 	list := make([]*chat, k.Sessions)
 	for i := range list {
@@ -51,7 +52,7 @@
 	return list
 }
 
-// sessionArrivals starts the requests of every kind once the lead is over.
+// sessionArrivals schedules the requests of every kind; the first come after Lead.
 func (w *world) sessionArrivals() {
 	for i := range w.Kinds {
 		k := &w.Kinds[i]
@@ -67,7 +68,7 @@
 	}
 }
 
-// nextRequest sends one request of a kind and awaits the next one.
+// nextRequest schedules the next request of a kind, which schedules its successor.
 func (w *world) nextRequest(k *SessionKind, list []*chat, shares []float64, random *rand.Rand) {
 	w.after(seconds(random.ExpFloat64()/k.Rate), func() {
 		x := random.Float64() * shares[len(shares)-1]
@@ -90,7 +91,7 @@
 	}
 }
 
-// prompt is what the caller says of the request's prompt.
+// prompt returns the description of the prompt that the caller sends with the request.
 func (t *turn) prompt() *core.Prompt {
 	return &core.Prompt{
 		Parts: []core.PromptPart{
@@ -101,15 +102,15 @@
 	}
 }
 
-// sessionLead is how long instances run before their first request, as an operator
-// starts them before the balancer sends any.
+// sessionLead is how long instances run before their first request: operators start them
+// before the balancer sends traffic.
 const sessionLead = 14 * time.Second
 
-// lenderSessions is a large fleet in three availability zones: reviews of dossiers,
-// questions about them, and short screenings. Instances, engines, rates, sessions,
-// tokens and the engines' memory are those of the users' sheet. An engine reads 61,800
-// tokens a second, writes one a step of 3.09 ms, and a step is twice as long with 190
-// requests; it tells its load 200 ms late.
+// lenderSessions returns the scenario of a large fleet in three availability zones whose
+// requests are dossier reviews, questions about dossiers and short screenings. Instances,
+// engines, rates, sessions, tokens and the engines' memory are those of the users' sheet.
+// An engine prefills 61,800 tokens a second and decodes one token per step of 3.09 ms. A
+// step takes twice as long with 190 requests. The load report is 200 ms old.
 func lenderSessions(seed uint64) Scenario {
 	return Scenario{
 		Name: "sessions-cold", Seed: seed, Servers: 90, Routers: 91, Zones: 3, Mean: 6, Capacity: 64,
@@ -125,10 +126,10 @@
 	}
 }
 
-// feedstockSessions is a large fleet in four availability zones: histories of digesters,
-// checks of mixes and notes to families. Figures are those of the users' sheet. An engine
-// reads 38,400 tokens a second, writes one a step of 5.23 ms whatever else it writes, and
-// tells its load 100 ms late.
+// feedstockSessions returns the scenario of a large fleet in four availability zones whose
+// requests are digester histories, mix checks and notes to families. The figures are those
+// of the users' sheet. An engine prefills 38,400 tokens a second and decodes one token per
+// step of 5.23 ms, almost independent of its load. The load report is 100 ms old.
 func feedstockSessions(seed uint64) Scenario {
 	return Scenario{
 		Name: "feedstock-cold", Seed: seed, Servers: 60, Routers: 80, Zones: 4, Mean: 5, Capacity: 64,
--- a/internal/measure/workload.go
+++ b/internal/measure/workload.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// chat is one caller's chat: turns with pauses between them. It draws from a source
-// of its own, so that every policy is given the same chats.
+// chat is one caller's chat: turns with pauses between them. It has its own random source,
+// so that every policy receives the same chats.
 type chat struct {
 	id       string
 	customer int
@@ -18,7 +18,7 @@
 	tokens   int
 	hint     string
 	number   int
-	// kind is set for a session: its requests are independent of each other and share
+	// kind is set for a session, whose requests are independent of each other and share
 	// the session's tokens.
 	kind *SessionKind
 }
@@ -27,7 +27,8 @@
 type turn struct {
 	chat   *chat
 	number int
-	// prefix are the tokens of the chat so far, fresh those that the turn adds.
+	// prefix is the number of the chat's tokens before the turn, fresh the number that the
+	// turn adds to the prompt.
 	prefix, fresh, output int
 	cached                int
 	arrived               time.Duration
@@ -36,13 +37,14 @@
 	attempt               int
 	refusals              int
 	index                 int
-	// broken says that the turn was given up after a crash, not refused.
+	// broken is set when the core gave the turn up after a failed attempt, rather than
+	// refuse it.
 	broken bool
 }
 
 func (t *turn) id() string { return fmt.Sprintf("%s/%d/%d", t.chat.id, t.number, t.refusals) }
 
-// leaves is the number of the chat's tokens that the turn leaves in the cache.
+// leaves returns the number of the chat's tokens that are cached after the turn.
 func (t *turn) leaves() int {
 	if t.chat.kind != nil {
 		return t.prefix
@@ -50,7 +52,7 @@
 	return t.prefix + t.fresh + t.output
 }
 
-// The shape of the chats.
+// The distribution of the chats.
 const (
 	dossierShare  = 0.1
 	dossierTurns  = 14
@@ -59,20 +61,21 @@
 	shortTokens   = 600
 	freshTokens   = 150
 	meanOutput    = 400
-	// medianPause lies between two turns of most chats; longShare of the pauses are
-	// longPause and more.
+	// medianPause is the median pause between two turns of a chat. The share longShare of
+	// the pauses last longPause or more.
 	medianPause = 75 * time.Second
 	longShare   = 0.03
 	longPause   = time.Hour
-	// expectedService is about the time that one turn takes, for setting the rates.
+	// expectedService is the approximate duration of a turn, from which rates are derived.
 	expectedService = 8 * time.Second
 )
 
-// customerShares are the customers' shares of the ordinary traffic: a few large.
+// customerShares holds the customers' shares of the traffic outside a surge. A few
+// customers account for most of it.
 var customerShares = []float64{0.28, 0.2, 0.14, 0.1, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02}
 
-// surging are the customers that surge, by index: 5 and 3 in 100 of the traffic, so
-// that tenfold of them adds 72 in 100.
+// surging holds the indexes of the customers that surge. They send 5% and 3% of the
+// traffic, so that their tenfold surge adds 72%.
 var surging = map[int]bool{6: true, 8: true}
 
 const surgeFactor = 10
@@ -90,7 +93,7 @@
 	return c
 }
 
-// lognormal draws with a median of 1.
+// lognormal draws a log-normal value with a median of 1.
 func lognormal(random *rand.Rand, sigma float64) float64 {
 	return math.Exp(sigma * random.NormFloat64())
 }
@@ -102,7 +105,7 @@
 	return time.Duration(float64(medianPause) * lognormal(c.random, 0.9))
 }
 
-// nextTurn draws the next turn; its prefix is all that came before.
+// nextTurn draws the next turn. Its prefix is the whole chat before it.
 func (c *chat) nextTurn(number int) *turn {
 	t := &turn{chat: c, number: number, prefix: c.tokens}
 	if number == 0 {
@@ -115,8 +118,8 @@
 	return t
 }
 
-// arrivals starts the chats: a standing population that is spread over its pauses,
-// and new chats at the rate that keeps the mean load.
+// arrivals starts an initial population of chats, which are at different turns, and new
+// chats at the rate that keeps the mean load.
 func (w *world) arrivals() {
 	turnRate := w.Mean * float64(w.Servers) / expectedService.Seconds()
 	meanTurns := (1-dossierShare)*shortTurns + dossierShare*dossierTurns
@@ -151,7 +154,7 @@
 	})
 }
 
-// surges tells whether the customer's rush is on.
+// surges reports whether the customer is surging now.
 func (w *world) surges(customer int) bool {
 	return surging[customer] && w.inSurge()
 }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -1,7 +1,8 @@
-// Package measure judges the core's decisions: many real nodes in one process and
-// in virtual time, small fake engines at their interface, and chats that return.
-// The same seed gives the same figures. It is no bench and simulates no cluster:
-// links only delay, and nothing in it decides but the policies under comparison.
+// Package measure evaluates the core's decisions. It runs many real nodes in one process
+// and in virtual time, with fake engines and with chats of several turns. The same seed
+// gives the same figures. It is neither a performance benchmark nor a simulation of a
+// cluster: links only add delay, and all routing decisions come from the policies under
+// comparison.
 package measure
 
 import (
@@ -15,14 +16,14 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/routing"
 )
 
-// Scenario is one run.
+// Scenario describes one run.
 type Scenario struct {
 	Name    string
 	Seed    uint64
 	Servers int
 	Routers int
 	Zones   int
-	// Mean is about the requests in progress at a backend server.
+	// Mean is the approximate number of requests in progress at a backend server.
 	Mean     float64
 	Capacity int
 	Bound    float64
@@ -30,33 +31,34 @@
 	CacheTokens int
 	Warmup      time.Duration
 	Duration    time.Duration
-	// Surge lets two of ten customers surge tenfold in the middle third.
+	// Surge makes two of ten customers send ten times as much in the middle third.
 	Surge bool
-	// Churn makes backend servers leave, join and flap and routers be replaced.
+	// Churn makes backend servers leave, join and flap, and replaces routers.
 	Churn bool
-	// ReplaceEvery is how often a router is replaced, with Churn.
+	// ReplaceEvery is the interval at which a router is replaced; it needs Churn.
 	ReplaceEvery time.Duration
-	// Policies are those that take part; all when empty.
+	// Policies lists the policies that the scenario is run with; empty means all.
 	Policies []string
-	// ZoneLoss loses an availability zone for two minutes in the middle.
+	// ZoneLoss stops an availability zone for two minutes in the middle.
 	ZoneLoss bool
-	// Kinds are the requests of sessions that come in place of the chats, if any.
+	// Kinds lists the kinds of session requests. If set, they replace the chats.
 	Kinds []SessionKind
 	// Slack is the number of requests allowed beyond the bound.
 	Slack int
-	// Lead is how long the routers run before the first request, with Kinds.
+	// Lead is how long the routers run before the first request; it needs Kinds.
 	Lead time.Duration
-	// Engine is the engines' speed; the chats' engine when zero.
+	// Engine is the speed of the engines; zero means the default of the chat scenarios.
 	Engine EngineSpeed
 }
 
 func (s *Scenario) measured() time.Duration { return s.Duration - s.Warmup }
 
-// listLag is how late the platform's list tells a change; each router reads it at
-// its own moment, so that for seconds they disagree about who exists.
+// listLag is the delay before the platform's list shows a change. Routers read the list
+// at different times, so their views of the membership differ for seconds.
 const listLag = 2 * time.Second
 
-// router is one instance of the fleet, in the place that the balancer knows.
+// router is one instance of the fleet, as the balancer addresses it. Its process may be
+// replaced.
 type router struct {
 	index int
 	name  string
@@ -64,6 +66,7 @@
 	down  bool
 }
 
+// world is the state of one run.
 type world struct {
 	Scenario
 	now      time.Duration
@@ -78,17 +81,21 @@
 	chatRate float64
 }
 
-// policy places turns. Each call names the turn's router in t.router; placing
-// returns nil and a time to come back when the turn is refused.
+// policy chooses backend servers for turns. The turn's router is in t.router.
 type policy interface {
+	// place returns the backend server for the turn, or nil and the time after which the
+	// caller may retry if the turn is refused.
 	place(t *turn) (*server, time.Duration)
-	// failed ends an attempt without an answer and returns the next one's server.
+	// failed ends an attempt without a response and returns the server of the next attempt,
+	// with the same results as place. sent is false if the request was not sent.
 	failed(t *turn, sent bool) (*server, time.Duration)
+	// ended ends a turn that was completed.
 	ended(t *turn)
-	// answers says that the answer's first byte came. Only sessions' requests tell it.
+	// answers reports the first byte of the response. It is called only for session requests.
 	answers(t *turn)
-	// replaced says that a new process took the router's place.
+	// replaced reports that a new process has replaced the router's process.
 	replaced(r *router)
+	// tick is called every historyStep.
 	tick()
 }
 
@@ -114,7 +121,7 @@
 	return w
 }
 
-// Run plays a scenario under the policy of that name and returns its figures.
+// Run runs a scenario with the named policy and returns the figures.
 func Run(s Scenario, policyName string) Figures {
 	w := newWorld(s)
 	w.policy = newPolicy(policyName, w)
@@ -141,12 +148,12 @@
 		t.arrived = w.now
 	}
 	t.router = w.balance(t)
-	srv, wait := w.policy.place(t)
-	w.placed(t, srv, wait)
+	srv, retryAfter := w.policy.place(t)
+	w.placed(t, srv, retryAfter)
 }
 
-// balance is the platform's balancer: it knows nothing of chats, customers or
-// availability zones.
+// balance chooses the router for a turn as the platform's balancer does, without regard
+// to chats, customers and availability zones.
 func (w *world) balance(t *turn) *router {
 	for i := uint64(0); ; i++ {
 		x := uint64(t.chat.number)*1_000_003 + uint64(t.number)*7919 + uint64(t.refusals)*104729 + i
@@ -157,16 +164,18 @@
 	}
 }
 
-// maxRefusals is how often a caller comes back after a refusal.
+// maxRefusals is how many times a caller retries a refused turn.
 const maxRefusals = 3
 
-func (w *world) placed(t *turn, srv *server, wait time.Duration) {
+// placed starts the turn at the chosen backend server. Attempts at a server that is gone
+// fail at once; a turn without a server is refused.
+func (w *world) placed(t *turn, srv *server, retryAfter time.Duration) {
 	for srv != nil && srv.state == membership.Gone {
 		t.server = srv
-		srv, wait = w.policy.failed(t, false)
+		srv, retryAfter = w.policy.failed(t, false)
 	}
 	if srv == nil {
-		w.refused(t, wait)
+		w.refused(t, retryAfter)
 		return
 	}
 	if w.measuring() {
@@ -188,7 +197,7 @@
 	})
 }
 
-func (w *world) refused(t *turn, wait time.Duration) {
+func (w *world) refused(t *turn, retryAfter time.Duration) {
 	if w.measuring() {
 		w.figures.refused(w, t)
 	}
@@ -196,7 +205,7 @@
 	t.refusals++
 	t.attempt++
 	if t.refusals <= maxRefusals {
-		w.after(wait, func() { w.turnArrives(t) })
+		w.after(retryAfter, func() { w.turnArrives(t) })
 		return
 	}
 	if w.measuring() {
@@ -226,8 +235,8 @@
 	w.policy.tick()
 }
 
-// live returns the requests in progress at the backend servers that take new work,
-// the most at one of them, and their number.
+// live returns the number of requests in progress at the backend servers that accept new
+// work, the highest number at one of them, and the number of these servers.
 func (w *world) live() (total, most, n int) {
 	for _, s := range w.servers {
 		if s.state == membership.Live {
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -16,7 +16,7 @@
 	"github.com/ebonydyke/ebonydyke/test/relay"
 )
 
-// The kinds of request, by the first part of the path.
+// The kinds of requests; the first segment of the path selects one.
 const (
 	kindOnce   = "once"
 	kindSafe   = "safe"
@@ -24,31 +24,32 @@
 	kindReview = "review"
 )
 
-// Bounds of what a backend server does.
+// Limits and timing of a backend server.
 const (
 	backendSlots = 16
 	eventPause   = 12 * time.Millisecond
-	// drainBound is how long after its leaving was written to the store a backend server
-	// may still get new work, and drainServe how long it goes on serving.
+	// drainBound is how long a backend server may still receive new work after the store
+	// has recorded that it is leaving. drainServe is how long it continues to serve.
 	drainBound = 2 * time.Second
 	drainServe = 3 * time.Second
 )
 
-// sickness is what is wrong with a backend server.
+// sickness is a fault of a backend server.
 type sickness int32
 
 const (
 	sound sickness = iota
-	// failing answers half of its requests with a failure, cutting breaks off half of
-	// its answers, foreign answers some with another request's answer, and hanging never
-	// answers.
+	// failing returns an error for half of the requests.
 	failing
+	// cutting truncates half of the plain responses and some of the streams.
 	cutting
+	// foreign returns the response to another request for some requests.
 	foreign
+	// hanging never responds.
 	hanging
 )
 
-// backend is one backend server behind a relay, by whose address it is known.
+// backend is one backend server behind a relay; the store lists the address of the relay.
 type backend struct {
 	world  *World
 	name   string
@@ -59,7 +60,8 @@
 
 	sick    atomic.Int32
 	running atomic.Int32
-	// leftAt is when the store took its leaving, in nanoseconds of the soak; 0 is never.
+	// leftAt is when the store recorded that the server is leaving, in nanoseconds since the
+	// start of the soak. It is 0 before that and -1 after a crash.
 	leftAt atomic.Int64
 
 	mu     sync.Mutex
@@ -84,7 +86,7 @@
 	return b, nil
 }
 
-// register writes the backend server's own entry.
+// register writes the backend server's entry to the store.
 func (b *backend) register(leaving bool) {
 	b.world.store.Register(standin.Backend{
 		Name: b.name, Service: "work", Zone: b.zone, Address: b.relay.Address(), Slots: backendSlots,
@@ -98,13 +100,14 @@
 	_ = b.server.Close()
 }
 
-func (b *backend) chance(share float64) bool {
+// chance returns true with the given probability.
+func (b *backend) chance(probability float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.random.Float64() < share
+	return b.random.Float64() < probability
 }
 
-// ServeHTTP answers one request as the platform's backend servers do.
+// ServeHTTP responds to a request as the platform's backend servers do.
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt := standin.ReadAttempt(r)
 	if attempt.Expected != b.name {
@@ -126,15 +129,15 @@
 	b.work(w, r, attempt, kind)
 }
 
-// checkArrival checks what holds of every request that reaches a backend server.
+// checkArrival checks the guarantees for every request that reaches a backend server.
 func (b *backend) checkArrival(attempt standin.Attempt) {
-	l := b.world.ledger
+	r := b.world.ledger
 	if attempt.Key != "" || attempt.Customer == "" {
-		l.broken("the key is not passed on", attempt.ID, "at "+b.name)
+		r.broken("the key is not passed on", attempt.ID, "at "+b.name)
 	}
 	left := time.Duration(b.leftAt.Load())
-	if left > 0 && l.elapsed() > left+drainBound && b.world.calmSince(l.elapsed()-left) {
-		l.broken("a leaver gets no new work", attempt.ID, fmt.Sprintf("%s, %v after", b.name, l.elapsed()-left))
+	if left > 0 && r.elapsed() > left+drainBound && b.world.calmSince(r.elapsed()-left) {
+		r.broken("a leaver gets no new work", attempt.ID, fmt.Sprintf("%s, %v after", b.name, r.elapsed()-left))
 	}
 }
 
@@ -193,14 +196,19 @@
 	}
 }
 
-// markOf, bodyOf, eventsOf and eventOf are what a sound answer to a request holds, so
-// that its caller can tell any other.
+// The functions below derive the content of the correct response from the request's id, so
+// that the caller detects any other.
+
+// markOf returns the value of the response header Server-Seal.
 func markOf(id string) string { return strconv.FormatUint(hashOf(id), 36) }
 
+// bodyOf returns the body of a response that is not a stream.
 func bodyOf(id string) string { return strings.Repeat("answer to "+id+"\n", 20) }
 
+// eventsOf returns the number of events of a stream.
 func eventsOf(id string) int { return 5 + int(hashOf(id)%40) }
 
+// eventOf returns the data of the i-th event of a stream.
 func eventOf(id string, i int) string { return fmt.Sprintf("%s-%d", id, i) }
 
 func hashOf(id string) uint64 {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// callerTimeout is what callers say they wait; the routes' own times are shorter.
+	// callerTimeout is the timeout that callers send with a request; the timeouts of the
+	// routes are shorter.
 	callerTimeout = 8 * time.Second
-	// routeTimeout is the time of every route, and heldSlack how much later the final
-	// answer may come.
+	// routeTimeout is the timeout of every route. heldSlack is how much later the final
+	// response may arrive.
 	routeTimeout = 4 * time.Second
 	heldSlack    = time.Second
 	callerKey    = "key-steady"
@@ -28,8 +29,8 @@
 
 var kinds = []string{kindOnce, kindSafe, kindStream, kindReview}
 
-// caller sends one request after another until ctx ends, on connections that it keeps
-// open, to whichever instance it drew, also while that is told to stop.
+// caller sends requests one after another until ctx ends, each to a random instance, on
+// keep-alive connections. It also sends to instances that are stopping.
 func (w *World) caller(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(w.options.Seed, uint64(1000+number)))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
@@ -46,7 +47,7 @@
 	}
 }
 
-// call sends one request and checks what comes back.
+// call sends one request and checks the response.
 func (w *World) call(ctx context.Context, client *http.Client, i *instance, kind, id string) {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
@@ -56,9 +57,9 @@
 	if err != nil {
 		return
 	}
-	begun := w.ledger.elapsed()
+	startedAt := w.ledger.elapsed()
 	resp, err := client.Do(req)
-	w.checkHeld(i, id, begun, err)
+	w.checkHeld(i, id, startedAt, err)
 	if err != nil {
 		w.ledger.count("no answer")
 		return
@@ -67,15 +68,16 @@
 	w.checkAnswer(i, kind, id, resp)
 }
 
-// checkHeld checks that a request had its final answer soon after its route's time. An
-// instance that is paused can answer nothing.
-func (w *World) checkHeld(i *instance, id string, begun time.Duration, err error) {
-	took := w.ledger.elapsed() - begun
-	if took > routeTimeout+heldSlack && !i.disturbedSince(begun) && !errors.Is(err, context.Canceled) {
+// checkHeld checks that the final response arrived at most heldSlack after the route's
+// timeout. It passes over instances that were disturbed; a paused one cannot respond.
+func (w *World) checkHeld(i *instance, id string, startedAt time.Duration, err error) {
+	took := w.ledger.elapsed() - startedAt
+	if took > routeTimeout+heldSlack && !i.disturbedSince(startedAt) && !errors.Is(err, context.Canceled) {
 		w.ledger.broken("an answer in time", id, fmt.Sprintf("%v at %s", took, i.name))
 	}
 }
 
+// checkAnswer checks the status of a response and, for a success, its content.
 func (w *World) checkAnswer(i *instance, kind, id string, resp *http.Response) {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -89,8 +91,8 @@
 	}
 }
 
-// checkSuccess checks that a success is the whole answer to this very request. One
-// that breaks off visibly is none.
+// checkSuccess checks that a successful response is complete and belongs to this request.
+// A response that ends with a read error is counted, not reported as a violation.
 func (w *World) checkSuccess(kind, id string, resp *http.Response) {
 	if standin.MarkOf(resp) != markOf(id) {
 		w.ledger.broken("the own answer", id, "another server's mark")
@@ -111,8 +113,8 @@
 	}
 }
 
-// checkStream checks the order of the events, and that a stream which ends as a whole
-// one is whole.
+// checkStream checks the order and data of the events, and that a stream that ends without
+// an error is complete.
 func (w *World) checkStream(id string, body io.Reader) {
 	lines := bufio.NewScanner(body)
 	last := 0
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// grace is how long a stopping process has before it is killed.
+	// grace is how long a process may take to stop before it is killed.
 	grace = 8 * time.Second
-	// leastGap and mostGap lie between two faults. Faults last for seconds, so they
-	// overlap.
+	// leastGap and mostGap bound the interval between the starts of two faults. Faults
+	// last longer, so that they overlap.
 	leastGap = 100 * time.Millisecond
 	mostGap  = 900 * time.Millisecond
-	// leastFault and mostFault are how long a fault lasts.
+	// leastFault and mostFault bound the duration of a fault.
 	leastFault = 500 * time.Millisecond
 	mostFault  = 3500 * time.Millisecond
 )
 
-// blow is one fault: how long it lasts, and what it draws from. Each has a source of
-// its own, so that the draws of one do not depend on when another takes its turn.
+// blow holds the parameters of one fault. Each fault has its own random source, so that
+// its draws do not depend on the timing of other faults.
 type blow struct {
 	random *rand.Rand
 	length time.Duration
 }
 
-// strike lets faults come until ctx ends, and waits until the last has passed.
+// strike injects random faults until ctx ends and waits for the last one to finish.
 func (w *World) strike(ctx context.Context) {
 	faults := []func(blow){
 		w.killInstance, w.stopInstance, w.stopInstance, w.pauseInstance, w.reloadInstance,
@@ -48,22 +48,23 @@
 			return
 		}
 		fault := faults[random.IntN(len(faults))]
-		b := blow{
+		p := blow{
 			random: rand.New(rand.NewPCG(w.options.Seed, number)),
 			length: between(random, leastFault, mostFault),
 		}
-		pending.Go(func() { fault(b) })
+		pending.Go(func() { fault(p) })
 	}
 }
 
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+// between returns a random duration of at least lower and less than upper.
+func between(random *rand.Rand, lower, upper time.Duration) time.Duration {
+	return lower + time.Duration(random.Int64N(int64(upper-lower)))
 }
 
-func (w *World) anyInstance(b blow) *instance { return w.instances[b.random.IntN(len(w.instances))] }
+func (w *World) anyInstance(p blow) *instance { return w.instances[p.random.IntN(len(w.instances))] }
 
-// anyBackend draws a backend server that is not leaving, or nil if few are left.
-func (w *World) anyBackend(b blow) *backend {
+// anyBackend returns a random backend server that has not left, or nil if fewer than 3 remain.
+func (w *World) anyBackend(p blow) *backend {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []*backend
@@ -75,85 +76,88 @@
 	if len(list) < 3 {
 		return nil
 	}
-	return list[b.random.IntN(len(list))]
+	return list[p.random.IntN(len(list))]
 }
 
-func (w *World) killInstance(b blow) {
-	i := w.anyInstance(b)
+func (w *World) killInstance(p blow) {
+	i := w.anyInstance(p)
 	i.disturbed()
-	struck := i.running()
-	struck.signal(w.ledger, syscall.SIGKILL)
-	<-struck.ended
-	time.Sleep(b.length / 4)
-	w.restart(i, struck)
+	proc := i.running()
+	proc.signal(w.ledger, syscall.SIGKILL)
+	<-proc.ended
+	time.Sleep(p.length / 4)
+	w.restart(i, proc)
 }
 
+// restart starts a new process in place of the ended one.
 func (w *World) restart(i *instance, ended *process) {
 	if err := i.start(w.options.Binary, ended); err != nil {
 		w.ledger.broken("a process starts again", i.name, err.Error())
 	}
 }
 
-// stopInstance stops a process as planned work does. It must be gone in time.
-func (w *World) stopInstance(b blow) {
-	i := w.anyInstance(b)
+// stopInstance stops a process as for maintenance and checks that it ends within the grace
+// time.
+func (w *World) stopInstance(p blow) {
+	i := w.anyInstance(p)
 	i.disturbed()
-	struck := i.running()
-	struck.signal(w.ledger, syscall.SIGCONT)
-	struck.signal(w.ledger, syscall.SIGTERM)
-	if struck.waitEnd(w.ledger, grace) && !i.disturbedSince(w.ledger.elapsed()-grace/2) {
+	proc := i.running()
+	proc.signal(w.ledger, syscall.SIGCONT)
+	proc.signal(w.ledger, syscall.SIGTERM)
+	if proc.waitEnd(w.ledger, grace) && !i.disturbedSince(w.ledger.elapsed()-grace/2) {
 		w.ledger.broken("a planned stop ends in time", i.name, "killed after the grace time")
 	}
-	w.restart(i, struck)
+	w.restart(i, proc)
 }
 
-func (w *World) pauseInstance(b blow) {
-	i := w.anyInstance(b)
+func (w *World) pauseInstance(p blow) {
+	i := w.anyInstance(p)
 	i.disturbed()
-	struck := i.running()
-	struck.signal(w.ledger, syscall.SIGSTOP)
-	time.Sleep(b.length)
-	struck.signal(w.ledger, syscall.SIGCONT)
+	proc := i.running()
+	proc.signal(w.ledger, syscall.SIGSTOP)
+	time.Sleep(p.length)
+	proc.signal(w.ledger, syscall.SIGCONT)
 	i.disturbed()
 }
 
-func (w *World) reloadInstance(b blow) {
-	w.anyInstance(b).running().signal(w.ledger, syscall.SIGHUP)
+func (w *World) reloadInstance(p blow) {
+	w.anyInstance(p).running().signal(w.ledger, syscall.SIGHUP)
 }
 
-// storeFault is one of the store's faults for a while.
-func (w *World) storeFault(b blow) {
+// storeFault makes the store unavailable, silent, busy, slow or lossy for the duration.
+func (w *World) storeFault(p blow) {
 	faults := []gate.Faults{
 		{Down: true}, {Silent: true}, {Busy: true}, {Busy: true, Many: true},
 		{Delay: config.Duration(300 * time.Millisecond)}, {LoseAnswers: 5}, {LoseWrites: 5},
 	}
 	w.disturbedAt.Store(int64(w.ledger.elapsed()))
-	w.store.SetFaults(faults[b.random.IntN(len(faults))])
-	time.Sleep(b.length)
+	w.store.SetFaults(faults[p.random.IntN(len(faults))])
+	time.Sleep(p.length)
 	w.store.SetFaults(gate.Faults{})
 	w.disturbedAt.Store(int64(w.ledger.elapsed()))
 }
 
-// cutStore cuts one instance from the store: refused, silent, or slow.
-func (w *World) cutStore(b blow) {
-	i := w.anyInstance(b)
-	w.cutRelay(i.store, b)
+// cutStore injects a fault into the connections between one instance and the store.
+func (w *World) cutStore(p blow) {
+	i := w.anyInstance(p)
+	w.cutRelay(i.store, p)
 	i.disturbed()
 }
 
-func (w *World) cutRelay(r *relay.Relay, b blow) {
+// cutRelay makes a relay silent, slow or refuse connections for the duration.
+func (w *World) cutRelay(r *relay.Relay, p blow) {
 	silent, slow, refusing := relay.None, relay.None, relay.None
 	silent.Frozen = true
 	slow.Delay = 100 * time.Millisecond
 	refusing.Refuse = true
 	faults := []relay.Faults{silent, slow, refusing}
 	w.disturbedAt.Store(int64(w.ledger.elapsed()))
-	kind := b.random.IntN(len(faults))
+	kind := p.random.IntN(len(faults))
 	r.Set(faults[kind])
 	if kind == len(faults)-1 {
 		r.Cut()
 	}
-	time.Sleep(b.length)
+	time.Sleep(p.length)
 	r.Set(relay.None)
 	w.disturbedAt.Store(int64(w.ledger.elapsed()))
 }
@@ -166,23 +170,23 @@
 	w.configure()
 }
 
-// crashBackend ends a backend server at once; another takes its place, and the entry
-// goes only when its heartbeats have been missed.
-func (w *World) crashBackend(b blow) {
-	server := w.anyBackend(b)
+// crashBackend ends a backend server at once and replaces it. Its entry is removed only
+// after the duration of the fault, as after missed heartbeats.
+func (w *World) crashBackend(p blow) {
+	server := w.anyBackend(p)
 	if server == nil {
 		return
 	}
 	server.leftAt.Store(-1)
 	server.end()
-	time.Sleep(b.length)
+	time.Sleep(p.length)
 	w.store.Unregister(server.name)
 	w.replace(server)
 }
 
-// drainBackend lets a backend server leave in order.
-func (w *World) drainBackend(b blow) {
-	server := w.anyBackend(b)
+// drainBackend drains a backend server and replaces it.
+func (w *World) drainBackend(p blow) {
+	server := w.anyBackend(p)
 	if server == nil {
 		return
 	}
@@ -200,19 +204,20 @@
 	}
 }
 
-func (w *World) sickenBackend(b blow) {
-	server := w.anyBackend(b)
+// sickenBackend gives a backend server a random fault for the duration.
+func (w *World) sickenBackend(p blow) {
+	server := w.anyBackend(p)
 	if server == nil {
 		return
 	}
-	server.sick.Store(int32(failing) + b.random.Int32N(int32(hanging)))
-	time.Sleep(b.length)
+	server.sick.Store(int32(failing) + p.random.Int32N(int32(hanging)))
+	time.Sleep(p.length)
 	server.sick.Store(int32(sound))
 }
 
-// cutBackend breaks the way to a backend server.
-func (w *World) cutBackend(b blow) {
-	if server := w.anyBackend(b); server != nil {
-		w.cutRelay(server.relay, b)
+// cutBackend injects a fault into the connections to a backend server.
+func (w *World) cutBackend(p blow) {
+	if server := w.anyBackend(p); server != nil {
+		w.cutRelay(server.relay, p)
 	}
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Violation is a promise that did not hold.
+// Violation is a guarantee that did not hold.
 type Violation struct {
 	At      time.Duration
 	Promise string
@@ -14,12 +14,12 @@
 	Detail  string
 }
 
-// String gives the violation as one line.
+// String returns the violation as one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%8.3fs %s: request %s: %s", v.At.Seconds(), v.Promise, v.Request, v.Detail)
 }
 
-// ledger is what callers and backend servers saw, by the caller's id of a request.
+// ledger records the observations of callers and backend servers by the caller's request id.
 type ledger struct {
 	begun time.Time
 
@@ -36,48 +36,49 @@
 	}
 }
 
-func (l *ledger) elapsed() time.Duration { return time.Since(l.begun) }
+func (r *ledger) elapsed() time.Duration { return time.Since(r.begun) }
 
-// ran notes that a backend server began to work on a request.
-func (l *ledger) ran(id string, once bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[id]++
-	l.counts["runs"]++
-	if once && l.runs[id] > 1 {
-		l.add("at most once", id, fmt.Sprintf("began %d times", l.runs[id]))
+// ran records that a backend server started a request. once is set if the request must not
+// start twice.
+func (r *ledger) ran(id string, once bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.runs[id]++
+	r.counts["runs"]++
+	if once && r.runs[id] > 1 {
+		r.add("at most once", id, fmt.Sprintf("began %d times", r.runs[id]))
 	}
-	if said := l.refused[id]; said != "" {
-		l.add("a refusal is true", id, "ran after "+said)
+	if status := r.refused[id]; status != "" {
+		r.add("a refusal is true", id, "ran after "+status)
 	}
 }
 
-// saidNotRun notes an answer that promises that the request has not run and never
+// saidNotRun records a response which guarantees that the request has not run and never
 // will.
-func (l *ledger) saidNotRun(id, said string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts["refused"]++
-	l.refused[id] = said
-	if l.runs[id] > 0 {
-		l.add("a refusal is true", id, fmt.Sprintf("%s, and %d runs", said, l.runs[id]))
+func (r *ledger) saidNotRun(id, status string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts["refused"]++
+	r.refused[id] = status
+	if r.runs[id] > 0 {
+		r.add("a refusal is true", id, fmt.Sprintf("%s, and %d runs", status, r.runs[id]))
 	}
 }
 
-// broken notes a promise that did not hold.
-func (l *ledger) broken(promise, id, detail string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.add(promise, id, detail)
+// broken records a guarantee that did not hold.
+func (r *ledger) broken(guarantee, id, detail string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.add(guarantee, id, detail)
 }
 
-// add is called with the lock held.
-func (l *ledger) add(promise, id, detail string) {
-	l.violations = append(l.violations, Violation{At: l.elapsed(), Promise: promise, Request: id, Detail: detail})
+// add appends a violation. The caller holds the lock.
+func (r *ledger) add(guarantee, id, detail string) {
+	r.violations = append(r.violations, Violation{At: r.elapsed(), Promise: guarantee, Request: id, Detail: detail})
 }
 
-func (l *ledger) count(what string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts[what]++
+func (r *ledger) count(name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts[name]++
 }
--- a/internal/soak/probe.go
+++ b/internal/soak/probe.go
@@ -10,26 +10,28 @@
 )
 
 const (
-	// probeInterval is how often some instance is asked which configuration it follows.
+	// probeInterval is the interval at which instances, in turn, are probed for the version
+	// of their configuration.
 	probeInterval = 50 * time.Millisecond
-	// probeTimeout is how long a probe says that it waits: half of its route's time.
+	// probeTimeout is the timeout that a probe sends: half of its route's timeout.
 	probeTimeout = routeTimeout / 2
-	// settleTime is how long the world is left alone before it is checked in calm, and
-	// applyBound how long a configuration may then take to be in force.
+	// settleTime is the pause between the last fault and the final checks. applyBound is
+	// how long a configuration may then take to be applied.
 	settleTime = 5 * time.Second
 	applyBound = 2 * time.Second
 )
 
-// Each version of the configuration holds a key of its own. Which of them an instance
-// takes shows which version it follows.
+// Each version of the configuration has an API key of its own. The key that an instance
+// accepts shows which version it applies.
 
-// taken is what a process was seen to take last.
+// taken is the newest version whose key an instance's process accepted. starts identifies
+// the process.
 type taken struct{ starts, version int }
 
-// probe checks that no process goes back to an older configuration.
+// probe checks that no process returns to an older configuration.
 func (w *World) probe(ctx context.Context) {
 	client := &http.Client{Timeout: routeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	seen := make(map[*instance]taken)
+	accepted := make(map[*instance]taken)
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(probeInterval)
 		i := w.instances[n%len(w.instances)]
@@ -39,7 +41,7 @@
 		i.mu.Lock()
 		starts := i.starts
 		i.mu.Unlock()
-		last := seen[i]
+		last := accepted[i]
 		if last.starts != starts {
 			last = taken{starts: starts}
 		}
@@ -47,34 +49,35 @@
 			last.version = max(last.version, newest)
 		}
 		w.probeOld(ctx, client, i, last, n)
-		seen[i] = last
+		accepted[i] = last
 	}
 }
 
-// probeOld asks with the key of a version before the one that was taken. A process
-// that was replaced meanwhile may follow an older one.
+// probeOld checks that the process rejects the key of the version before the accepted one.
+// It reports nothing if the process was replaced meanwhile: a new one may still have an
+// older version.
 func (w *World) probeOld(ctx context.Context, client *http.Client, i *instance, last taken, n int) {
-	old := 0
+	oldVersion := 0
 	w.mu.Lock()
 	for _, v := range w.keyed {
 		if v < last.version {
-			old = v
+			oldVersion = v
 		}
 	}
 	w.mu.Unlock()
-	if old == 0 || w.follows(ctx, client, i, old, fmt.Sprint("o", n)) != http.StatusOK {
+	if oldVersion == 0 || w.follows(ctx, client, i, oldVersion, fmt.Sprint("o", n)) != http.StatusOK {
 		return
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.starts == last.starts {
 		w.ledger.broken("a configuration never goes back", fmt.Sprint("o", n),
-			fmt.Sprintf("%s took the key of version %d after %d", i.name, old, last.version))
+			fmt.Sprintf("%s took the key of version %d after %d", i.name, oldVersion, last.version))
 	}
 }
 
-// follows asks an instance with the key of one version and returns the status, 0 if
-// there was no answer.
+// follows sends a request with the key of a version to an instance and returns the status,
+// or 0 if there was no response.
 func (w *World) follows(ctx context.Context, client *http.Client, i *instance, version int, id string) int {
 	req, err := standin.NewRequest(ctx, standin.Call{
 		Address: i.listen, Host: host, Path: "/" + kindSafe + "/x", ID: id, Key: fmt.Sprint("key-", version), Wait: probeTimeout,
@@ -90,8 +93,8 @@
 	return resp.StatusCode
 }
 
-// checkAfterwards checks in calm that all instances are back and in step, whatever
-// came before: a new configuration is in force everywhere, and a leaver gets no work.
+// checkAfterwards checks, without faults, that all instances have recovered: each applies a
+// new configuration, and a backend server that is leaving receives no new work.
 func (w *World) checkAfterwards(ctx context.Context) {
 	pause := func(d time.Duration) {
 		select {
@@ -101,25 +104,25 @@
 	}
 	pause(settleTime)
 	w.mu.Lock()
-	before := w.keyed[len(w.keyed)-1]
+	previous := w.keyed[len(w.keyed)-1]
 	w.configure()
-	now := w.keyed[len(w.keyed)-1]
+	current := w.keyed[len(w.keyed)-1]
 	w.mu.Unlock()
 	w.leaveInCalm()
 	pause(applyBound)
 	client := &http.Client{Timeout: routeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n, i := range w.instances {
-		if got := w.follows(ctx, client, i, now, fmt.Sprint("n", n)); got == http.StatusUnauthorized || got == 0 {
+		if got := w.follows(ctx, client, i, current, fmt.Sprint("n", n)); got == http.StatusUnauthorized || got == 0 {
 			w.ledger.broken("a configuration is in force in time", i.name, fmt.Sprintf("status %d with the new key", got))
 		}
-		if got := w.follows(ctx, client, i, before, fmt.Sprint("b", n)); got != http.StatusUnauthorized {
+		if got := w.follows(ctx, client, i, previous, fmt.Sprint("b", n)); got != http.StatusUnauthorized {
 			w.ledger.broken("a key that was taken away is refused", i.name, fmt.Sprintf("status %d", got))
 		}
 	}
 	pause(drainBound)
 }
 
-// leaveInCalm lets a backend server leave, whose requests are checked on arrival.
+// leaveInCalm marks a backend server as leaving; checkArrival checks its requests.
 func (w *World) leaveInCalm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,16 +11,15 @@
 	"github.com/ebonydyke/ebonydyke/internal/soak"
 )
 
-// seeds are those that are played each time: one short soak, and each seed that ever
-// failed, with a line on the cause.
+// seeds lists the seeds of every run: 1, and each seed that has ever failed, with a line on
+// the cause.
 var seeds = []uint64{
 	1,
 }
 
-// A fleet of real processes is killed, stopped, paused and cut off from its store and
-// its backend servers, and its configuration changes all the while. No caller gets a
-// wrong or doubled answer, or a refusal that is not true, and in the calm after it all
-// instances are in step.
+// Guards against wrong, truncated or late responses, requests that run twice or after a
+// refusal, and instances that do not recover. Processes of a real fleet are killed, stopped,
+// paused and cut off from the store and the backend servers while the configuration changes.
 func TestShortSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "ebonydyked")
 	out, err := exec.Command("go", "build", "-o", binary, "../../cmd/ebonydyked").CombinedOutput()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,9 +1,9 @@
-// Package soak runs the real programs as processes before backend servers and a store
-// of its own, and strikes them from outside with whatever may come, while callers go
-// on: connections that are delayed, reset or silent, processes that are killed, paused,
-// stopped and restarted, a store that is away, busy, slow or forgetful, backend servers
-// that fail, leave and come. It checks the promises from what callers and backend
-// servers see, never from what the programs say of themselves.
+// Package soak runs the real daemons as processes, with backend servers and a store of its
+// own, and injects faults while callers send requests. Connections are delayed, refused or
+// silent; processes are killed, paused, stopped and restarted; the store is unavailable,
+// busy, slow or loses writes and responses; backend servers fail, leave and join. The
+// package checks the guarantees only against what callers and backend servers observe, not
+// against what the daemons report.
 package soak
 
 import (
@@ -28,42 +28,44 @@
 	"github.com/ebonydyke/ebonydyke/test/relay"
 )
 
-// Options say how large a soak is and how long it lasts.
+// Options sets the size and duration of a soak.
 type Options struct {
-	// Binary is the daemon.
+	// Binary is the path of the daemon.
 	Binary string
-	// Seed draws the faults. What the processes make of them differs from run to run.
+	// Seed determines the sequence of faults. Their effects depend on timing and differ
+	// between runs.
 	Seed uint64
-	// Instances and Backends are the numbers of processes and of backend servers.
+	// Instances and Backends are the numbers of instances and of backend servers.
 	Instances, Backends int
-	// Callers is the number of callers at once.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Duration is how long faults come.
+	// Duration is how long faults are injected.
 	Duration time.Duration
-	// Logs is a folder for the processes' logs.
+	// Logs is the directory for the settings and logs of the processes.
 	Logs string
 }
 
-// Result is what a soak found.
+// Result holds the violations and counts of a soak.
 type Result struct {
 	Violations []Violation
 	Counts     map[string]int
 }
 
-// World is one soak.
+// World is the state of one soak.
 type World struct {
 	options   Options
 	ledger    *ledger
 	store     *standin.Server
 	instances []*instance
-	// versions draws the steps between the versions of the configuration; version is
-	// the next, and keyed are those that were written.
+	// versions is the random source of the steps between configuration versions. version
+	// is the next one, and keyed lists those that were written.
 	versions *rand.Rand
 	version  int
-	// given are the addresses of the instances.
+	// given holds the addresses that were assigned to instances.
 	given map[string]bool
 	keyed []int
-	// disturbedAt is when the store was last away, slow or cut off from an instance.
+	// disturbedAt is the time of the last fault that may delay updates from the store, in
+	// nanoseconds since the start of the soak.
 	disturbedAt atomic.Int64
 
 	mu       sync.Mutex
@@ -71,49 +73,51 @@
 	born     int
 }
 
-// instance is one process of the fleet.
+// instance is one instance of the fleet. Its process may be replaced.
 type instance struct {
 	world                *World
 	name, zone           string
 	listen, peers, admin string
 	settings             string
 	store                *relay.Relay
-	// disturbedAt is when a fault last struck it, in nanoseconds of the soak.
+	// disturbedAt is the time of its last fault or start, in nanoseconds since the start of
+	// the soak.
 	disturbedAt atomic.Int64
 
 	mu      sync.Mutex
 	current *process
-	// starts counts the processes under this name.
+	// starts counts the processes that were started for the instance.
 	starts int
 }
 
-// process is one process of an instance; ended is closed at its end.
+// process is one process of an instance; ended is closed when it ends.
 type process struct {
 	handle *os.Process
 	ended  chan struct{}
 }
 
-// calmSince tells whether nothing has disturbed the way from the store to the
-// instances for so long, and some more: an instance that was cut off may not have heard.
+// calmSince reports whether no fault has delayed updates from the store for span plus 4 s.
+// The 4 s let an instance that was cut off receive what it missed.
 func (w *World) calmSince(span time.Duration) bool {
 	const settle = 4 * time.Second
 	return w.ledger.elapsed()-time.Duration(w.disturbedAt.Load()) > span+settle
 }
 
+// disturbed records the time of a fault of the instance.
 func (i *instance) disturbed() {
 	i.disturbedAt.Store(int64(i.world.ledger.elapsed()))
 	i.world.disturbedAt.Store(int64(i.world.ledger.elapsed()))
 }
 
-// disturbedSince tells whether a fault struck the instance after a time, or shortly
-// before it.
+// disturbedSince reports whether the instance had a fault after the given time or less than
+// 2 s before it.
 func (i *instance) disturbedSince(at time.Duration) bool {
 	const settle = 2 * time.Second
 	last := time.Duration(i.disturbedAt.Load())
 	return last > 0 && last > at-settle
 }
 
-// Run runs one soak to its end. Only processes that it started are ended.
+// Run runs one soak. It ends only processes that it has started.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	w := &World{
 		options: o, ledger: newLedger(), store: standin.New(),
@@ -124,26 +128,27 @@
 		return nil, err
 	}
 	defer w.stop()
-	calling, stopCalling := context.WithCancel(ctx)
+	callCtx, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
 	var callers sync.WaitGroup
 	for n := range o.Callers {
-		callers.Go(func() { w.caller(calling, n) })
+		callers.Go(func() { w.caller(callCtx, n) })
 	}
-	callers.Go(func() { w.probe(calling) })
-	striking, cancel := context.WithTimeout(ctx, o.Duration)
+	callers.Go(func() { w.probe(callCtx) })
+	faultCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	w.strike(striking)
+	w.strike(faultCtx)
 	w.checkAfterwards(ctx)
 	stopCalling()
 	callers.Wait()
-	// What is still on its way may yet run, or break a promise.
+	// Requests in transit may still run and violate a guarantee.
 	time.Sleep(time.Second)
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
 	return &Result{Violations: w.ledger.violations, Counts: w.ledger.counts}, nil
 }
 
+// start starts the store, the backend servers and the instances.
 func (w *World) start() error {
 	server := httptest.NewServer(w.store)
 	w.configure()
@@ -165,8 +170,8 @@
 	return w.waitReady()
 }
 
-// configure writes the operators' configuration anew: the version rises, and a route
-// and a key beside the steady ones come and go.
+// configure writes the next version of the operators' configuration. The new version has
+// its own key and its own spare route in place of those of the previous version.
 func (w *World) configure() {
 	route := func(name, kind string, runs int, resumable bool) standin.Route {
 		return standin.Route{
@@ -202,6 +207,7 @@
 	return nil
 }
 
+// prepare starts the relay to the store, assigns addresses and writes the settings.
 func (i *instance) prepare(storeAddress, logs string) error {
 	var err error
 	if i.store, err = relay.Start(storeAddress); err != nil {
@@ -212,28 +218,27 @@
 			return err
 		}
 	}
-	text, _ := json.Marshal(map[string]any{
+	settings, _ := json.Marshal(map[string]any{
 		"dialect": "platform", "fleet": fmt.Sprint("soak-", os.Getpid()), "name": i.name, "zone": i.zone, "listen": i.listen, "peer_listen": i.peers, "admin_listen": i.admin,
 		"platform": "http://" + i.store.Address(), "accept_delay": "1s", "stop_grace": "8s",
 		"bounds": map[string]any{"skew_bound": 2, "skew_slack": 3, "retry_share": 0.2, "retry_burst": 50},
 		"limits": map[string]any{"accept_quiet": "100ms", "accept_max": "500ms", "drain_idle": "300ms", "dial_timeout": "200ms"},
 	})
 	i.settings = filepath.Join(logs, i.name+".json")
-	return os.WriteFile(i.settings, text, 0o600)
+	return os.WriteFile(i.settings, settings, 0o600)
 }
 
-// The ports of instances lie under the range from which the system takes those of
-// outgoing connections, so that none of these takes one before its instance starts.
-// Each soak draws from a block of its own: ports of killed instances are free for a
-// moment.
+// The ports of instances are below the system's ephemeral range, so that no outgoing
+// connection takes a port before its instance starts. Each soak draws from a block that
+// depends on its process id, because the ports of killed instances are briefly free.
 const (
 	lowPort    = 16_000
 	portBlock  = 190
 	portBlocks = 20
 )
 
-// freeAddress draws an address on which nothing listens and that no other instance
-// was given: instances bind theirs only later.
+// freeAddress returns a random address that has no listener and is not assigned to another
+// instance. Instances bind their addresses later, so a free port alone is not enough.
 func (w *World) freeAddress() (string, error) {
 	low := lowPort + os.Getpid()%portBlocks*portBlock
 	for range 1000 {
@@ -250,9 +255,10 @@
 	return "", errors.New("soak: no free port")
 }
 
-// start starts a process in place of one that has ended, nil for the first. Where two
-// faults ended the same process, the first to come has replaced it: a second one would
-// make the first nobody's, out of reach of later faults and of the soak's end.
+// start starts a process in place of the one that has ended, or the first one if ended is
+// nil. If two faults ended the same process, only the first call starts a replacement. A
+// second replacement would leave the first untracked: neither later faults nor the end of
+// the soak would reach it.
 func (i *instance) start(binary string, ended *process) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -280,35 +286,35 @@
 	return nil
 }
 
-// running is the instance's present process, which may have ended.
+// running returns the instance's current process, which may have ended.
 func (i *instance) running() *process {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.current
 }
 
-// signal sends a signal by the handle that the process was started with: once it has
-// ended, its number may be another's.
-func (p *process) signal(l *ledger, s syscall.Signal) {
+// signal sends a signal through the process handle. After the process has ended, its id may
+// belong to another process.
+func (p *process) signal(r *ledger, s syscall.Signal) {
 	if err := p.handle.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		l.count("signal failed")
+		r.count("signal failed")
 	}
 }
 
-// waitEnd waits for the process's end, and kills it after the grace time as the
-// platform does.
-func (p *process) waitEnd(l *ledger, grace time.Duration) (killed bool) {
+// waitEnd waits until the process ends and kills it after the grace time, as the platform
+// does.
+func (p *process) waitEnd(r *ledger, grace time.Duration) (killed bool) {
 	select {
 	case <-p.ended:
 		return false
 	case <-time.After(grace):
-		p.signal(l, syscall.SIGKILL)
+		p.signal(r, syscall.SIGKILL)
 		<-p.ended
 		return true
 	}
 }
 
-// waitReady waits until every instance answers a request.
+// waitReady waits until every instance reports on its admin address that it is ready.
 func (w *World) waitReady() error {
 	for _, i := range w.instances {
 		ready := false
@@ -320,13 +326,13 @@
 			}
 		}
 		if !ready {
-			return fmt.Errorf("soak: %s is not ready; its log is %s.log", i.name, i.settings)
+			return fmt.Errorf("soak: %s did not become ready; see the log %s.log", i.name, i.settings)
 		}
 	}
 	return nil
 }
 
-// stop ends whatever the soak has started.
+// stop ends everything that the soak has started.
 func (w *World) stop() {
 	for _, i := range w.instances {
 		if p := i.running(); p != nil {
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance is stopped for planned work, and killed before its process has ended.
-// Both faults then started it again: the first of the two processes was nobody's, no
-// later fault struck it, and it outlived the soak and went on calling the address of
-// its store, which by then was another soak's.
+// Guards against two processes for one instance. One fault stopped the instance, another
+// killed it before its process had ended, and both restarted it. The first new process was
+// then untracked: no later fault reached it, and it outlived the soak and kept calling the
+// address of its store, which by then belonged to another soak.
 func TestTwoFaultsAtOnceLeaveOneProcess(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "daemon")
-	// Long enough for the second fault to find the process still ending.
+	// The process takes 200 ms to end, so that the second fault occurs meanwhile.
 	script := "#!/bin/sh\ntrap 'sleep 0.2; exit 0' TERM\nwhile :; do sleep 0.05; done\n"
 	require.NoError(t, os.WriteFile(binary, []byte(script), 0o700))
 	w := &World{options: Options{Binary: binary}, ledger: newLedger()}
@@ -32,7 +32,7 @@
 	faults.Go(func() { w.killInstance(testBlow()) })
 	faults.Wait()
 
-	require.Equal(t, 2, i.starts, "one start at first and one after the faults")
+	require.Equal(t, 2, i.starts, "the first start and one restart after both faults")
 }
 
 func testBlow() blow {
--- a/tools/verdict/main.go
+++ b/tools/verdict/main.go
@@ -1,9 +1,9 @@
-// Command verdict reads the output of `go test -json` and gives the verdict of
-// CI: it prints what failed, passes over the tests that KNOWN-RED.txt lists, and
-// ends with one line of counts.
+// Command verdict reads the output of `go test -json` and decides whether CI passes. It
+// prints the failures, ignores failures of the tests that KNOWN-RED.txt lists, and prints
+// one line of counts at the end.
 //
-// It ends with 0 only if every other test and package passed and at least one
-// test ran.
+// It exits with status 0 only if every other test and package passed and at least one test
+// passed.
 package main
 
 import (
@@ -17,10 +17,10 @@
 	"strings"
 )
 
-// maxKnown is the largest number of tests that may be passed over.
+// maxKnown is the largest number of tests whose failures may be ignored.
 const maxKnown = 3
 
-// maxLine bounds one line of the test output, in bytes.
+// maxLine is the maximum length of a line of the test output, in bytes.
 const maxLine = 16 << 20
 
 // event is one line of `go test -json`.
@@ -31,13 +31,13 @@
 	Output  string
 }
 
-// verdict collects the ends of tests and packages.
+// verdict collects the results of tests and packages.
 type verdict struct {
-	// known maps a test's name to its line in KNOWN-RED.txt.
+	// known maps the name of a listed test to its line in KNOWN-RED.txt.
 	known map[string]string
-	// output is what each test, or package under an empty test, printed.
+	// output holds the output by package and test; the test is empty for the package itself.
 	output map[[2]string]*strings.Builder
-	// failed are the tests and packages that failed, in order.
+	// failed lists the tests and packages that failed, in order.
 	failed  [][2]string
 	passed  int
 	skipped int
@@ -57,8 +57,8 @@
 	os.Exit(1)
 }
 
-// readKnown reads lines of the form "test: cause: issue". Empty lines and lines
-// that begin with # are left out; a missing file lists nothing.
+// readKnown reads lines of the form "test: cause: issue". It skips empty lines and lines
+// that begin with #. A missing file is an empty list.
 func readKnown(file string) (map[string]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil && !os.IsNotExist(err) {
@@ -88,7 +88,7 @@
 	for lines.Scan() {
 		var e event
 		if json.Unmarshal(lines.Bytes(), &e) != nil {
-			// The go command itself speaks plain text when it cannot run a test.
+			// The go command prints plain text when it cannot run a test.
 			fmt.Println(lines.Text())
 			continue
 		}
@@ -120,14 +120,14 @@
 	}
 }
 
-// report prints the verdict and tells whether it is good.
+// report prints the results and reports whether CI passes.
 func (v *verdict) report(w io.Writer) bool {
-	failed, passedOver := 0, 0
+	failed, ignored := 0, 0
 	for _, id := range v.failed {
 		switch {
 		case id[1] == "" && v.explained(id[0]):
 		case v.isKnown(id[1]):
-			passedOver++
+			ignored++
 		default:
 			failed++
 			_, _ = fmt.Fprintf(w, "FAILED %s %s\n", id[0], id[1])
@@ -137,17 +137,17 @@
 		}
 	}
 	v.reportKnown(w)
-	_, _ = fmt.Fprintf(w, "%d passed, %d failed, %d known red, %d skipped\n", v.passed, failed, passedOver, v.skipped)
+	_, _ = fmt.Fprintf(w, "%d passed, %d failed, %d known red, %d skipped\n", v.passed, failed, ignored, v.skipped)
 	return failed == 0 && v.passed > 0
 }
 
-// explained tells whether a package failed because tests of it did. A package
-// that failed without one did not build, or died.
+// explained reports whether a test of the package failed. A package that failed without a
+// failed test did not build or crashed.
 func (v *verdict) explained(pkg string) bool {
 	return slices.ContainsFunc(v.failed, func(id [2]string) bool { return id[0] == pkg && id[1] != "" })
 }
 
-// isKnown tells whether a test is listed, or fails as the parent of a listed one.
+// isKnown reports whether a test is listed or is the parent of a listed test.
 func (v *verdict) isKnown(test string) bool {
 	for known := range v.known {
 		if known == test || test != "" && strings.HasPrefix(known, test+"/") {
@@ -157,6 +157,7 @@
 	return false
 }
 
+// reportKnown prints the listed tests and whether they failed.
 func (v *verdict) reportKnown(w io.Writer) {
 	for _, test := range slices.Sorted(maps.Keys(v.known)) {
 		state := "passed now: take it off the list"
--- a/tools/verdict/main_test.go
+++ b/tools/verdict/main_test.go
@@ -26,37 +26,36 @@
 	v := verdict{known: list, output: make(map[[2]string]*strings.Builder)}
 	require.NoError(t, v.read(strings.NewReader(stream)))
 	var out strings.Builder
-	good := v.report(&out)
-	return good, out.String()
+	passed := v.report(&out)
+	return passed, out.String()
 }
 
 func TestVerdict(t *testing.T) {
-	good, out := judge(t, "", stream)
-	require.False(t, good)
+	passed, out := judge(t, "", stream)
+	require.False(t, passed)
 	require.Contains(t, out, "FAILED q TestB/one\nsaid\n")
 	require.Contains(t, out, "1 passed, 2 failed, 0 known red, 0 skipped\n")
 
-	good, out = judge(t, "TestB/one: flaky clock: issue 7\n", stream)
-	require.True(t, good)
+	passed, out = judge(t, "TestB/one: flaky clock: issue 7\n", stream)
+	require.True(t, passed)
 	require.Contains(t, out, "KNOWN RED (failed) TestB/one: flaky clock: issue 7\n1 passed, 0 failed, 2 known red, 0 skipped\n")
 
-	good, _ = judge(t, "TestC: other: issue 8", stream)
-	require.False(t, good, "only the listed test is passed over")
+	passed, _ = judge(t, "TestC: other: issue 8", stream)
+	require.False(t, passed, "only failures of listed tests are ignored")
 
-	good, out = judge(t, "TestA: mended: issue 9", `{"Action":"pass","Package":"p","Test":"TestA"}`)
-	require.True(t, good)
+	passed, out = judge(t, "TestA: mended: issue 9", `{"Action":"pass","Package":"p","Test":"TestA"}`)
+	require.True(t, passed)
 	require.Contains(t, out, "KNOWN RED (passed now: take it off the list) TestA")
 }
 
-// TestDeadPackage is a package that dies or does not build.
-//
-// No test of it fails, so a count of failed tests would show a good run.
+// Guards against a pass when a package crashes or does not build. No test of it fails, so a
+// count of failed tests alone would be zero.
 func TestDeadPackage(t *testing.T) {
-	good, out := judge(t, "", `{"Action":"pass","Package":"p","Test":"TestA"}`+"\n"+`{"Action":"fail","Package":"q"}`)
-	require.False(t, good)
+	passed, out := judge(t, "", `{"Action":"pass","Package":"p","Test":"TestA"}`+"\n"+`{"Action":"fail","Package":"q"}`)
+	require.False(t, passed)
 	require.Contains(t, out, "1 passed, 1 failed")
-	good, _ = judge(t, "", "")
-	require.False(t, good, "nothing ran")
+	passed, _ = judge(t, "", "")
+	require.False(t, passed, "no test ran")
 }
 
 func TestListIsBounded(t *testing.T) {
