--- a/api/peerpb/generated_test.go
+++ b/api/peerpb/generated_test.go
@@ -12,7 +12,7 @@
 
 // make generate must run after each edit of peer.proto: it records the digest of the source that
 // the code was generated from.
-func TestGeneratedCodeIsOfThisSource(t *testing.T) {
+func TestGeneratedCodeIsUpToDate(t *testing.T) {
 	source, err := os.ReadFile("peer.proto")
 	require.NoError(t, err)
 	recorded, err := os.ReadFile("peer.proto.sha256")
--- a/cmd/ebonyctl/fleet.go
+++ b/cmd/ebonyctl/fleet.go
@@ -16,50 +16,50 @@
 )
 
 const (
-	// askTimeout limits one request to one instance.
-	askTimeout = 3 * time.Second
-	// maxAnswer is the maximum size of an instance's response in bytes.
-	maxAnswer = 16 << 20
-	// maxAsked limits the concurrent requests to instances.
-	maxAsked = 32
+	// callTimeout limits one request to one instance.
+	callTimeout = 3 * time.Second
+	// maxResponseBytes is the maximum size of an instance's response in bytes.
+	maxResponseBytes = 16 << 20
+	// maxConcurrentCalls limits the concurrent requests to instances.
+	maxConcurrentCalls = 32
 )
 
-// asked is the result of a status request to one instance.
-type asked struct {
+// statusResult is the result of a status request to one instance.
+type statusResult struct {
 	Address string       `json:"address"`
 	Status  *core.Status `json:"status,omitempty"`
 	Error   string       `json:"error,omitempty"`
 }
 
-// askAll requests the status of every instance in --instances and returns the results in that
-// order.
-func (c *cli) askAll(ctx context.Context) []asked {
-	results := make([]asked, len(c.Instances))
-	semaphore := make(chan struct{}, maxAsked)
+// fetchStatuses requests the status of every instance in --instances and returns the results
+// in that order.
+func (c *cli) fetchStatuses(ctx context.Context) []statusResult {
+	results := make([]statusResult, len(c.Instances))
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	var wg sync.WaitGroup
 	for i, address := range c.Instances {
 		wg.Go(func() {
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			results[i] = askStatus(ctx, address)
+			results[i] = fetchStatus(ctx, address)
 		})
 	}
 	wg.Wait()
 	return results
 }
 
-func askStatus(ctx context.Context, address string) asked {
+func fetchStatus(ctx context.Context, address string) statusResult {
 	var s core.Status
-	if err := ask(ctx, http.MethodGet, address, admin.PathStatus, nil, &s); err != nil {
-		return asked{Address: address, Error: err.Error()}
+	if err := call(ctx, http.MethodGet, address, admin.PathStatus, nil, &s); err != nil {
+		return statusResult{Address: address, Error: err.Error()}
 	}
-	return asked{Address: address, Status: &s}
+	return statusResult{Address: address, Status: &s}
 }
 
-// ask sends a request to an instance's admin interface and decodes the JSON response into v,
+// call sends a request to an instance's admin interface and decodes the JSON response into v,
 // unless v is nil.
-func ask(ctx context.Context, method, address, path string, query url.Values, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func call(ctx context.Context, method, address, path string, query url.Values, v any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	target := "http://" + address + path
 	if len(query) > 0 {
@@ -74,7 +74,7 @@
 		return fmt.Errorf("no answer from the instance at %s: %w", address, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("instance at %s: %w", address, err)
 	}
@@ -90,11 +90,11 @@
 	return nil
 }
 
-// askFirst sends a request to the instances in --instances in order until one succeeds.
-func (c *cli) askFirst(ctx context.Context, path string, query url.Values, v any) error {
+// callFirst sends a request to the instances in --instances in order until one succeeds.
+func (c *cli) callFirst(ctx context.Context, path string, query url.Values, v any) error {
 	var lastErr error
 	for _, address := range c.Instances {
-		if lastErr = ask(ctx, http.MethodGet, address, path, query, v); lastErr == nil {
+		if lastErr = call(ctx, http.MethodGet, address, path, query, v); lastErr == nil {
 			return nil
 		}
 	}
@@ -107,7 +107,7 @@
 func (c *cli) highestInForce(ctx context.Context) uint64 {
 	var highest uint64
 	responded := false
-	for _, r := range c.askAll(ctx) {
+	for _, r := range c.fetchStatuses(ctx) {
 		if r.Status == nil {
 			continue
 		}
@@ -118,7 +118,7 @@
 		}
 	}
 	if !responded {
-		_, _ = fmt.Fprintln(c.err, "warning: no instance answers at --instances: a store that went back would not be noticed")
+		_, _ = fmt.Fprintln(c.stderr, "warning: no instance answers at --instances: a store that went back would not be noticed")
 	}
 	return highest
 }
@@ -134,19 +134,19 @@
 	address := c.Instance
 	if !strings.Contains(address, ":") {
 		var err error
-		if address, err = global.addressOf(ctx, c.Instance); err != nil {
+		if address, err = global.adminAddress(ctx, c.Instance); err != nil {
 			return err
 		}
 	}
-	if err := ask(ctx, http.MethodPost, address, admin.PathDrain, nil, nil); err != nil {
+	if err := call(ctx, http.MethodPost, address, admin.PathDrain, nil, nil); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
 	global.printf("%s is draining: it ends once every request in progress has its answer\n", c.Instance)
 	return nil
 }
 
-func (c *cli) addressOf(ctx context.Context, name string) (string, error) {
-	for _, r := range c.askAll(ctx) {
+func (c *cli) adminAddress(ctx context.Context, name string) (string, error) {
+	for _, r := range c.fetchStatuses(ctx) {
 		if r.Status != nil && r.Status.Instance == name {
 			return r.Address, nil
 		}
--- a/cmd/ebonyctl/main.go
+++ b/cmd/ebonyctl/main.go
@@ -19,15 +19,15 @@
 
 // Exit codes. Scripts depend on them, so the meaning of a code must not change.
 const (
-	exitOK            = 0
-	exitFailed        = 1
-	exitFindings      = 2
-	exitLostRace      = 3
-	exitUnknown       = 4
-	exitStoreWentBack = 5
-	exitNotEverywhere = 6
-	exitNotRun        = 7
-	exitDuplicate     = 8
+	exitOK              = 0
+	exitFailed          = 1
+	exitFindings        = 2
+	exitConflict        = 3
+	exitOutcomeUnknown  = 4
+	exitStoreRolledBack = 5
+	exitNotEverywhere   = 6
+	exitNotRun          = 7
+	exitDuplicate       = 8
 )
 
 const description = `Operates the ebonydyke router fleet.
@@ -53,8 +53,8 @@
 	Drain    drainCommand    `cmd:"" help:"Begin the graceful shutdown of one instance."`
 	Send     sendCommand     `cmd:"" help:"Send one request."`
 
-	out io.Writer
-	err io.Writer
+	stdout io.Writer
+	stderr io.Writer
 }
 
 func (c *cli) store() store.Store { return platform.NewClient(c.Platform) }
@@ -86,12 +86,12 @@
 		return coded.code
 	case errors.As(err, &findings):
 		return exitFindings
-	case errors.Is(err, edit.ErrLostRace):
-		return exitLostRace
-	case errors.Is(err, edit.ErrUnknown):
-		return exitUnknown
-	case errors.Is(err, edit.ErrStoreWentBack):
-		return exitStoreWentBack
+	case errors.Is(err, edit.ErrConflict):
+		return exitConflict
+	case errors.Is(err, edit.ErrOutcomeUnknown):
+		return exitOutcomeUnknown
+	case errors.Is(err, edit.ErrStoreRolledBack):
+		return exitStoreRolledBack
 	default:
 		return exitFailed
 	}
@@ -101,15 +101,15 @@
 func advice(err error) string {
 	switch exitCode(err) {
 	case exitFailed:
-		if errors.Is(err, store.ErrNotDone) {
+		if errors.Is(err, store.ErrNotApplied) {
 			return "The platform does not answer there: check --platform, or wait until it is back. Nothing was changed."
 		}
 		return ""
-	case exitLostRace:
+	case exitConflict:
 		return "Run `ebonyctl diff FILE`, take in what changed, and apply again with --base of the newer generation."
-	case exitUnknown:
+	case exitOutcomeUnknown:
 		return "Run `ebonyctl get` once the platform answers, and compare before you apply again."
-	case exitStoreWentBack:
+	case exitStoreRolledBack:
 		return "Compare the text in the store with your own. To write over it, apply with --base of the generation in force."
 	default:
 		return ""
@@ -117,13 +117,13 @@
 }
 
 func main() {
-	c := cli{out: os.Stdout, err: os.Stderr}
+	c := cli{stdout: os.Stdout, stderr: os.Stderr}
 	parsed := kong.Parse(&c, kong.Name("ebonyctl"), kong.Description(description))
 	err := parsed.Run(&c)
 	if err != nil {
-		_, _ = fmt.Fprintln(c.err, err)
+		_, _ = fmt.Fprintln(c.stderr, err)
 		if text := advice(err); text != "" {
-			_, _ = fmt.Fprintln(c.err, text)
+			_, _ = fmt.Fprintln(c.stderr, text)
 		}
 	}
 	os.Exit(exitCode(err))
--- a/cmd/ebonyctl/placement.go
+++ b/cmd/ebonyctl/placement.go
@@ -21,7 +21,7 @@
 	defer cancel()
 	query := url.Values{"service": {c.Service}, "customer": {c.Customer}, "chat": {c.Chat}, "hint": {c.Hint}}
 	var explanation core.Explanation
-	if err := global.askFirst(ctx, admin.PathExplain, query, &explanation); err != nil {
+	if err := global.callFirst(ctx, admin.PathExplain, query, &explanation); err != nil {
 		return fmt.Errorf("explain: %w", err)
 	}
 	if global.JSON {
@@ -53,7 +53,7 @@
 	ctx, cancel := global.context()
 	defer cancel()
 	var status core.Status
-	if err := global.askFirst(ctx, admin.PathStatus, nil, &status); err != nil {
+	if err := global.callFirst(ctx, admin.PathStatus, nil, &status); err != nil {
 		return fmt.Errorf("backends: %w", err)
 	}
 	services := make([]core.ServiceStatus, 0, len(status.Services))
--- a/cmd/ebonyctl/print.go
+++ b/cmd/ebonyctl/print.go
@@ -8,11 +8,11 @@
 )
 
 func (c *cli) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(c.out, format, args...)
+	_, _ = fmt.Fprintf(c.stdout, format, args...)
 }
 
 func (c *cli) printJSON(v any) error {
-	e := json.NewEncoder(c.out)
+	e := json.NewEncoder(c.stdout)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
@@ -23,7 +23,7 @@
 }
 
 func (c *cli) table(headings ...string) *table {
-	t := &table{w: tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)}
+	t := &table{w: tabwriter.NewWriter(c.stdout, 0, 0, 2, ' ', 0)}
 	t.row(headings...)
 	return t
 }
--- a/cmd/ebonyctl/send.go
+++ b/cmd/ebonyctl/send.go
@@ -30,8 +30,8 @@
 	Message       string `arg:"" optional:"" help:"What to say; the body for a plain service."`
 }
 
-// sent is the JSON output of the send command.
-type sent struct {
+// sendResult is the JSON output of the send command.
+type sendResult struct {
 	Status    int            `json:"status"`
 	Request   string         `json:"request"`
 	Backend   string         `json:"backend,omitempty"`
@@ -39,7 +39,7 @@
 	Reason    reason.Reason  `json:"reason,omitempty"`
 	Placement string         `json:"placement,omitempty"`
 	Body      string         `json:"body,omitempty"`
-	Broken    string         `json:"broken,omitempty"`
+	ReadError string         `json:"broken,omitempty"`
 }
 
 // Run sends one request and reports its outcome.
@@ -56,10 +56,10 @@
 		return fmt.Errorf("send: nothing was sent: %w", err)
 	}
 	if err != nil {
-		return &exitError{exitUnknown, fmt.Errorf("send: no answer from the instance at %s: %w", c.To, err)}
+		return &exitError{exitOutcomeUnknown, fmt.Errorf("send: no answer from the instance at %s: %w", c.To, err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	s := sent{
+	s := sendResult{
 		Status:    resp.StatusCode,
 		Request:   resp.Header.Get(proxy.HeaderRequestID),
 		Backend:   resp.Header.Get(proxy.HeaderBackend),
@@ -73,7 +73,7 @@
 			return err
 		}
 	} else {
-		global.printf("\n%s by %s (status %d, request %s)\n", s.Outcome, s.by(), s.Status, s.Request)
+		global.printf("\n%s by %s (status %d, request %s)\n", s.Outcome, s.responder(), s.Status, s.Request)
 	}
 	return s.err()
 }
@@ -112,19 +112,19 @@
 }
 
 // readBody prints the response body as it arrives, or stores it in s for JSON output.
-func (c *sendCommand) readBody(global *cli, resp *http.Response, s *sent) {
+func (c *sendCommand) readBody(global *cli, resp *http.Response, s *sendResult) {
 	var buffer strings.Builder
-	out := global.out
+	out := global.stdout
 	if global.JSON {
 		out = &buffer
 	}
 	if _, err := io.Copy(out, resp.Body); err != nil {
-		s.Broken = err.Error()
+		s.ReadError = err.Error()
 	}
 	s.Body = buffer.String()
 }
 
-func (s *sent) by() string {
+func (s *sendResult) responder() string {
 	if s.Backend == "" {
 		return "the fleet"
 	}
@@ -133,10 +133,10 @@
 
 // err returns an error with the exit code for the request's outcome, or nil if the request was
 // answered.
-func (s *sent) err() error {
+func (s *sendResult) err() error {
 	switch {
-	case s.Broken != "":
-		return &exitError{exitUnknown, fmt.Errorf("the answer is broken: %s", s.Broken)}
+	case s.ReadError != "":
+		return &exitError{exitOutcomeUnknown, fmt.Errorf("the answer is broken: %s", s.ReadError)}
 	case s.Outcome == reason.Answered:
 		return nil
 	case s.Outcome == reason.NotRun:
@@ -144,6 +144,6 @@
 	case s.Outcome == reason.Duplicate:
 		return &exitError{exitDuplicate, fmt.Errorf("the request is a duplicate: %s", s.Reason)}
 	default:
-		return &exitError{exitUnknown, fmt.Errorf("it is unknown whether the request ran: %s", s.Reason)}
+		return &exitError{exitOutcomeUnknown, fmt.Errorf("it is unknown whether the request ran: %s", s.Reason)}
 	}
 }
--- a/cmd/ebonyctl/status.go
+++ b/cmd/ebonyctl/status.go
@@ -13,8 +13,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/edit"
 )
 
-// statusInterval is the polling interval of status --wait.
-const statusInterval = 200 * time.Millisecond
+// pollInterval is the polling interval of status --wait.
+const pollInterval = 200 * time.Millisecond
 
 type statusCommand struct {
 	All  bool `help:"List every instance, in a large fleet as well."`
@@ -30,18 +30,18 @@
 	// StoreError is the error from reading the store, if any.
 	StoreError string `json:"store_error,omitempty"`
 	// Instances are the results of the status requests.
-	Instances []asked `json:"instances"`
-	// Heard are the live instances that were not queried, as reported by their peers.
-	Heard []heard `json:"heard"`
+	Instances []statusResult `json:"instances"`
+	// Unqueried are the live instances that were not queried, as reported by their peers.
+	Unqueried []unqueriedInstance `json:"heard"`
 	// Behind names the instances that are not known to have the newest generation in force.
 	Behind []string `json:"behind"`
 }
 
-// silentAfter is the time without a digest after which an instance is shown as silent.
-const silentAfter = 10 * time.Second
+// silentThreshold is the time without a digest after which an instance is shown as silent.
+const silentThreshold = 10 * time.Second
 
-// heard is a live instance that was not queried.
-type heard struct {
+// unqueriedInstance is a live instance that was not queried.
+type unqueriedInstance struct {
 	core.PeerStatus
 	// Silent is set if its peers receive no digests from it although the platform lists it.
 	Silent bool `json:"silent,omitempty"`
@@ -55,31 +55,31 @@
 	ctx := context.Background()
 	deadline := time.Now().Add(global.Timeout)
 	s := global.fleetStatus(ctx)
-	for c.Wait && !s.settled() && time.Now().Before(deadline) {
-		time.Sleep(statusInterval)
+	for c.Wait && !s.converged() && time.Now().Before(deadline) {
+		time.Sleep(pollInterval)
 		s = global.fleetStatus(ctx)
 	}
 	if err := global.printStatus(s, c.All); err != nil {
 		return err
 	}
-	if !s.answered() {
+	if !s.anyResponded() {
 		return errors.New("no instance answers: give the admin_listen addresses of running instances with --instances")
 	}
-	if c.Wait && !s.settled() {
+	if c.Wait && !s.converged() {
 		return &exitError{exitNotEverywhere, fmt.Errorf("generation %d is not in force everywhere after %v; not on it: %v", s.Newest, global.Timeout, s.Behind)}
 	}
 	return nil
 }
 
-func (s *fleetStatus) answered() bool {
-	return slices.ContainsFunc(s.Instances, func(r asked) bool { return r.Status != nil })
+func (s *fleetStatus) anyResponded() bool {
+	return slices.ContainsFunc(s.Instances, func(r statusResult) bool { return r.Status != nil })
 }
 
-func (s *fleetStatus) settled() bool { return s.Newest > 0 && len(s.Behind) == 0 }
+func (s *fleetStatus) converged() bool { return s.Newest > 0 && len(s.Behind) == 0 }
 
 func (c *cli) fleetStatus(ctx context.Context) *fleetStatus {
-	s := &fleetStatus{Instances: c.askAll(ctx)}
-	storeCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	s := &fleetStatus{Instances: c.fetchStatuses(ctx)}
+	storeCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	envelope, _, err := edit.Read(storeCtx, c.store())
 	if err != nil {
@@ -87,22 +87,22 @@
 	}
 	s.Stored = envelope.Generation
 	s.Newest = s.Stored
-	s.hearPeers()
+	s.addUnqueried()
 	for _, r := range s.Instances {
 		if r.Status != nil {
 			s.Newest = max(s.Newest, r.Status.Generation)
 		}
 	}
-	for _, p := range s.Heard {
+	for _, p := range s.Unqueried {
 		s.Newest = max(s.Newest, p.Generation)
 	}
 	s.findBehind()
 	return s
 }
 
-// hearPeers adds the live instances that were not queried, each with the latest digest that a
+// addUnqueried adds the live instances that were not queried, each with the latest digest that a
 // queried instance received from it.
-func (s *fleetStatus) hearPeers() {
+func (s *fleetStatus) addUnqueried() {
 	queried := make(map[string]bool)
 	live := make(map[string]bool)
 	for _, r := range s.Instances {
@@ -114,14 +114,14 @@
 			live[in.Name] = live[in.Name] || in.State == membership.Live
 		}
 	}
-	latest := make(map[string]heard)
+	latest := make(map[string]unqueriedInstance)
 	for _, r := range s.Instances {
 		if r.Status == nil {
 			continue
 		}
 		for _, p := range r.Status.Peers {
 			if p.LastDigestAt.After(latest[p.Name].LastDigestAt) {
-				latest[p.Name] = heard{PeerStatus: p, Silent: r.Status.At.Sub(p.LastDigestAt) > silentAfter}
+				latest[p.Name] = unqueriedInstance{PeerStatus: p, Silent: r.Status.At.Sub(p.LastDigestAt) > silentThreshold}
 			}
 		}
 	}
@@ -131,11 +131,11 @@
 		}
 		p, ok := latest[name]
 		if !ok {
-			p = heard{PeerStatus: core.PeerStatus{Name: name}, Silent: true}
+			p = unqueriedInstance{PeerStatus: core.PeerStatus{Name: name}, Silent: true}
 		}
-		s.Heard = append(s.Heard, p)
+		s.Unqueried = append(s.Unqueried, p)
 	}
-	slices.SortFunc(s.Heard, func(a, b heard) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Unqueried, func(a, b unqueriedInstance) int { return cmp.Compare(a.Name, b.Name) })
 }
 
 func (s *fleetStatus) findBehind() {
@@ -147,7 +147,7 @@
 			s.Behind = append(s.Behind, r.Status.Instance)
 		}
 	}
-	for _, p := range s.Heard {
+	for _, p := range s.Unqueried {
 		if p.Generation < s.Newest {
 			s.Behind = append(s.Behind, p.Name)
 		}
@@ -158,8 +158,8 @@
 	if c.JSON {
 		return c.printJSON(s)
 	}
-	if all || len(s.Instances)+len(s.Heard) <= oneScreen {
-		c.printInstances(s, func(*asked) bool { return true }, func(*heard) bool { return true })
+	if all || len(s.Instances)+len(s.Unqueried) <= maxListedInstances {
+		c.printInstances(s, func(*statusResult) bool { return true }, func(*unqueriedInstance) bool { return true })
 	} else {
 		c.printZones(s)
 	}
@@ -168,28 +168,28 @@
 }
 
 // printInstances prints a row for each instance that its filter selects.
-func (c *cli) printInstances(s *fleetStatus, include func(*asked) bool, includeUnqueried func(*heard) bool) {
+func (c *cli) printInstances(s *fleetStatus, include func(*statusResult) bool, includeUnqueried func(*unqueriedInstance) bool) {
 	t := c.table("INSTANCE", "ZONE", "GENERATION", "STATE", "IN FLIGHT", "PLATFORM")
 	for _, r := range s.Instances {
 		if include(&r) {
 			t.row(instanceRow(&r)...)
 		}
 	}
-	for _, p := range s.Heard {
+	for _, p := range s.Unqueried {
 		if includeUnqueried(&p) {
-			t.row(p.Name, "", generation(p.Generation), heardState(p), "", "")
+			t.row(p.Name, "", formatGeneration(p.Generation), unqueriedState(p), "", "")
 		}
 	}
 	t.flush()
 }
 
-func instanceRow(r *asked) []string {
+func instanceRow(r *statusResult) []string {
 	if r.Status == nil {
 		return []string{r.Address, "", "", "no answer", "", ""}
 	}
 	return []string{
-		r.Status.Instance, r.Status.Zone, generation(r.Status.Generation), state(r.Status),
-		fmt.Sprint(r.Status.InFlight), platformWord(r.Status),
+		r.Status.Instance, r.Status.Zone, formatGeneration(r.Status.Generation), instanceState(r.Status),
+		fmt.Sprint(r.Status.InFlight), platformState(r.Status),
 	}
 }
 
@@ -204,24 +204,24 @@
 	if s.StoreError != "" {
 		c.printf("store: not read from here: %s\n", s.StoreError)
 	} else {
-		c.printf("store: %s\n", generation(s.Stored))
+		c.printf("store: %s\n", formatGeneration(s.Stored))
 	}
-	if s.settled() {
-		c.printf("generation %d is in force on all %d known instances\n", s.Newest, len(s.Instances)+len(s.Heard))
+	if s.converged() {
+		c.printf("generation %d is in force on all %d known instances\n", s.Newest, len(s.Instances)+len(s.Unqueried))
 	}
 	if s.Stored < s.Newest && s.StoreError == "" {
 		c.printf("the store went back: generation %d is in force\n", s.Newest)
 	}
 }
 
-func generation(g uint64) string {
+func formatGeneration(g uint64) string {
 	if g == 0 {
 		return "none"
 	}
 	return fmt.Sprintf("generation %d", g)
 }
 
-func state(s *core.Status) string {
+func instanceState(s *core.Status) string {
 	switch {
 	case s.Stopping:
 		return "draining"
@@ -232,7 +232,7 @@
 	}
 }
 
-func heardState(p heard) string {
+func unqueriedState(p unqueriedInstance) string {
 	switch {
 	case !p.Silent:
 		return "heard of, not asked"
@@ -243,7 +243,7 @@
 	}
 }
 
-func platformWord(s *core.Status) string {
+func platformState(s *core.Status) string {
 	p := s.Platform
 	switch {
 	case !p.Known:
--- a/cmd/ebonyctl/status_test.go
+++ b/cmd/ebonyctl/status_test.go
@@ -12,12 +12,12 @@
 	"github.com/ebonydyke/ebonydyke/internal/core"
 )
 
-// fleetOf returns the status of a fleet of n instances in three zones, with generation 7 in
+// newFleetStatus returns the status of a fleet of n instances in three zones, with generation 7 in
 // force on all of them.
-func fleetOf(n int) *fleetStatus {
+func newFleetStatus(n int) *fleetStatus {
 	s := &fleetStatus{Newest: 7, Stored: 7}
 	for i := range n {
-		s.Instances = append(s.Instances, asked{Address: fmt.Sprintf("10.0.0.%d:7090", i), Status: &core.Status{
+		s.Instances = append(s.Instances, statusResult{Address: fmt.Sprintf("10.0.0.%d:7090", i), Status: &core.Status{
 			Instance: fmt.Sprintf("entry-%02d", i), Zone: fmt.Sprint("zone-", i%3), Generation: 7, InFlight: 10,
 			Platform: core.PlatformStatus{Known: true, Reachable: true},
 		}})
@@ -25,25 +25,25 @@
 	return s
 }
 
-func printed(t *testing.T, s *fleetStatus, all bool) string {
+func statusOutput(t *testing.T, s *fleetStatus, all bool) string {
 	t.Helper()
 	var out bytes.Buffer
-	c := &cli{out: &out}
+	c := &cli{stdout: &out}
 	s.findBehind()
 	require.NoError(t, c.printStatus(s, all))
 	return out.String()
 }
 
-// TestStatusOfALargeFleetFitsOnAScreen guards against hiding the instances that need attention.
+// TestLargeFleetStatusFitsOneScreen guards against hiding the instances that need attention.
 // In a fleet of 91 instances, a row for each healthy one pushed the three unhealthy ones off
 // the screen.
-func TestStatusOfALargeFleetFitsOnAScreen(t *testing.T) {
-	s := fleetOf(91)
+func TestLargeFleetStatusFitsOneScreen(t *testing.T) {
+	s := newFleetStatus(91)
 	s.Instances[4].Status.Generation = 5
 	s.Instances[5].Status.Platform = core.PlatformStatus{Known: true, Since: time.Unix(0, 0).UTC()}
 	s.Instances[6].Status = nil
-	out := printed(t, s, false)
-	require.LessOrEqual(t, strings.Count(out, "\n"), oneScreen)
+	out := statusOutput(t, s, false)
+	require.LessOrEqual(t, strings.Count(out, "\n"), maxListedInstances)
 	for _, line := range []string{
 		`zone-0 +30 +30 +0 +0 +300`, `zone-1 +30 +30 +1 +0 +300`, `zone-2 +30 +30 +0 +1 +300`,
 		`entry-04 +zone-1 +generation 5 +serving +10 +reachable`,
@@ -55,14 +55,15 @@
 	}
 	require.NotContains(t, out, "entry-07")
 
-	all := printed(t, s, true)
+	all := statusOutput(t, s, true)
 	require.Contains(t, all, "entry-90")
 	require.NotContains(t, all, "BEHIND")
 }
 
-// TestStatusOfASmallFleetListsAll checks that a small fleet is listed with a row per instance.
-func TestStatusOfASmallFleetListsAll(t *testing.T) {
-	out := printed(t, fleetOf(8), false)
+// TestSmallFleetStatusListsAllInstances checks that the status of a small fleet has a row for
+// each instance.
+func TestSmallFleetStatusListsAllInstances(t *testing.T) {
+	out := statusOutput(t, newFleetStatus(8), false)
 	require.Contains(t, out, "entry-07")
 	require.Contains(t, out, "generation 7 is in force on all 8 known instances")
 }
--- a/cmd/ebonyctl/text.go
+++ b/cmd/ebonyctl/text.go
@@ -13,9 +13,9 @@
 	"github.com/ebonydyke/ebonydyke/internal/edit"
 )
 
-// readChecked reads and validates a configuration file. If the configuration is invalid, the
+// readConfig reads and validates a configuration file. If the configuration is invalid, the
 // error holds every finding.
-func readChecked(file string) (string, *config.Snapshot, error) {
+func readConfig(file string) (string, *config.Snapshot, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return "", nil, fmt.Errorf("read the configuration: %w", err)
@@ -30,7 +30,7 @@
 
 // Run validates a configuration file.
 func (c *checkCommand) Run(global *cli) error {
-	_, snapshot, err := readChecked(c.File)
+	_, snapshot, err := readConfig(c.File)
 	findings := config.Findings{}
 	if global.JSON && (err == nil || errors.As(err, &findings)) {
 		return errors.Join(global.printJSON(map[string]any{"findings": findings}), err)
@@ -47,15 +47,15 @@
 	Base *uint64 `help:"Generation that the text was based on; the newest when left out."`
 }
 
-// applied is the JSON output of the apply command.
-type applied struct {
+// applyResult is the JSON output of the apply command.
+type applyResult struct {
 	Generation uint64 `json:"generation"`
 	Edit       string `json:"edit"`
 }
 
 // Run replaces the configuration in the store, subject to the generation it is based on.
 func (c *applyCommand) Run(global *cli) error {
-	text, _, err := readChecked(c.File)
+	text, _, err := readConfig(c.File)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		return fmt.Errorf("apply %s: %w", c.File, err)
 	}
 	if global.JSON {
-		return global.printJSON(applied{Generation: generation, Edit: e.ID})
+		return global.printJSON(applyResult{Generation: generation, Edit: e.ID})
 	}
 	global.printf("accepted: generation %d\n", generation)
 	return nil
@@ -93,7 +93,7 @@
 	if global.JSON {
 		return global.printJSON(envelope)
 	}
-	_, _ = fmt.Fprintf(global.err, "generation %d, edit %s\n", envelope.Generation, envelope.Edit)
+	_, _ = fmt.Fprintf(global.stderr, "generation %d, edit %s\n", envelope.Generation, envelope.Edit)
 	global.printf("%s", envelope.Text)
 	return nil
 }
@@ -104,7 +104,7 @@
 
 // Run prints the difference between the stored configuration and a file.
 func (c *diffCommand) Run(global *cli) error {
-	text, _, err := readChecked(c.File)
+	text, _, err := readConfig(c.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/ebonydyked/main.go
+++ b/cmd/ebonydyked/main.go
@@ -47,17 +47,17 @@
 		fmt.Println("no findings")
 		return
 	}
-	logJSON(s.LogVerbosity)
-	if err := daemon.Run(listenForSignals(), options.Settings, s); err != nil {
+	configureLogging(s.LogVerbosity)
+	if err := daemon.Run(subscribeSignals(), options.Settings, s); err != nil {
 		klog.ErrorS(err, "daemon failed", "instance", s.Name)
 		os.Exit(exitFailed)
 	}
 	klog.InfoS("daemon stopped", "instance", s.Name)
 }
 
-// logJSON configures klog to write JSON lines to standard output, with V levels up to
+// configureLogging configures klog to write JSON lines to standard output, with V levels up to
 // verbosity.
-func logJSON(verbosity int) {
+func configureLogging(verbosity int) {
 	// The handler's level lets every line through. klog's own verbosity filters the lines,
 	// because it can change while the process runs.
 	level := slog.Level(-settings.MaxVerbosity)
@@ -65,9 +65,9 @@
 	daemon.SetVerbosity(verbosity)
 }
 
-// listenForSignals subscribes to the signals for shutdown and for reloading the settings. A
+// subscribeSignals subscribes to the signals for shutdown and for reloading the settings. A
 // SIGHUP without a handler would terminate the process.
-func listenForSignals() daemon.Signals {
+func subscribeSignals() daemon.Signals {
 	stop := make(chan struct{})
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/cmd/ebonymeasure/main.go
+++ b/cmd/ebonymeasure/main.go
@@ -36,7 +36,7 @@
 }
 
 func (o *options) run() error {
-	figures, err := o.play(o.runs())
+	figures, err := o.executeRuns(o.selectedRuns())
 	if err != nil {
 		return err
 	}
@@ -53,13 +53,13 @@
 	return plotCurve(curve, figures)
 }
 
-// runs lists the selected runs.
-func (o *options) runs() []run {
+// selectedRuns lists the selected runs.
+func (o *options) selectedRuns() []run {
 	wanted := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	var list []run
 	for _, s := range append(measure.Scenarios(o.Seed), measure.Curve(o.Seed)...) {
 		for _, p := range measure.Policies {
-			if s.Plays(p) && wanted(o.Scenario, s.Name) && wanted(o.Policy, p) {
+			if s.Includes(p) && wanted(o.Scenario, s.Name) && wanted(o.Policy, p) {
 				list = append(list, run{s, p})
 			}
 		}
@@ -67,8 +67,8 @@
 	return list
 }
 
-// play executes the runs, at most Parallel at a time, and returns their figures in order.
-func (o *options) play(runs []run) ([]measure.Figures, error) {
+// executeRuns executes the runs, at most Parallel at a time, and returns their figures in order.
+func (o *options) executeRuns(runs []run) ([]measure.Figures, error) {
 	figures := make([]measure.Figures, len(runs))
 	var group errgroup.Group
 	group.SetLimit(max(1, o.Parallel))
@@ -103,9 +103,9 @@
 		"quiet: refused\twait p95\trush: refused\tgiven up\twait p95\tsurging: refused\t")
 	for _, f := range figures {
 		_, _ = fmt.Fprintf(out, "%s\t%s\t%.2f\t%d\t%.1f\t%.3f\t%.2f\t%.2f\t%.4f\t%.1f\t%d by %d\t%.3f\t%d\t%d\t%.2f\t%d of %d\t%d\t%.2f\t%d of %d\t\n",
-			f.Scenario, f.Policy, f.Bound, f.Turns, f.Mean, f.Reuse, f.Worst, f.P99, f.Over, f.OverRequests,
-			f.OverDecisions, f.OverMost, f.WorstSeconds, f.Broken, f.Quiet.Refusals, f.Quiet.WaitP95,
-			f.Rush.Refusals, f.Rush.Turns, f.Rush.GivenUp, f.Rush.WaitP95, f.Surging.Refusals, f.Surging.Turns)
+			f.Scenario, f.Policy, f.Bound, f.Turns, f.MeanLoad, f.Reuse, f.MaxSkew, f.P99Skew, f.OverShare, f.MaxExcess,
+			f.OverLimitPlacements, f.MaxPlacementExcess, f.MaxOverLimitShare, f.FailedTurns, f.OutsideSurge.Refusals, f.OutsideSurge.WaitP95,
+			f.DuringSurge.Refusals, f.DuringSurge.Turns, f.DuringSurge.GivenUp, f.DuringSurge.WaitP95, f.Surging.Refusals, f.Surging.Turns)
 	}
 	return out.Flush()
 }
--- a/cmd/ebonymeasure/plot.go
+++ b/cmd/ebonymeasure/plot.go
@@ -29,7 +29,7 @@
 		for _, f := range figures {
 			if f.Scenario == "curve" && f.Policy == policy {
 				reuse = append(reuse, plotter.XY{X: f.Bound, Y: f.Reuse})
-				skew = append(skew, plotter.XY{X: f.Bound, Y: f.P99})
+				skew = append(skew, plotter.XY{X: f.Bound, Y: f.P99Skew})
 			}
 		}
 		if len(reuse) == 0 {
--- a/cmd/ebonysoak/main.go
+++ b/cmd/ebonysoak/main.go
@@ -67,12 +67,12 @@
 			return violated, fmt.Errorf("seed %d: %w", seed, err)
 		}
 		violated = violated || len(result.Violations) > 0
-		print(seed, result)
+		printResult(seed, result)
 	}
 	return violated, nil
 }
 
-func print(seed uint64, r *soak.Result) {
+func printResult(seed uint64, r *soak.Result) {
 	fmt.Printf("seed %d: %d promises broken", seed, len(r.Violations))
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
 		fmt.Printf(", %s %d", name, r.Counts[name])
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -34,15 +34,15 @@
 	coreTimeout = time.Second
 	// ioTimeout limits reading a request and writing its response.
 	ioTimeout = 10 * time.Second
-	// maxHeader is the maximum size of a request header in bytes.
-	maxHeader = 16 << 10
-	// maxAnswers limits the concurrent requests for large responses, and thereby the calls
-	// that wait for the core. Probes have a limit of their own: otherwise slow readers of
-	// large responses could make the load balancer's probes fail.
-	maxAnswers = 16
-	// maxProbes limits the concurrent requests with small responses: health, readiness and
-	// drain.
-	maxProbes = 64
+	// maxHeaderBytes is the maximum size of a request header in bytes.
+	maxHeaderBytes = 16 << 10
+	// maxConcurrentRequests limits the concurrent requests for large responses, and thereby
+	// the calls that wait for the core. Probes have a limit of their own: otherwise slow
+	// readers of large responses could make the load balancer's probes fail.
+	maxConcurrentRequests = 16
+	// maxConcurrentProbes limits the concurrent requests with small responses: health,
+	// readiness and drain.
+	maxConcurrentProbes = 64
 )
 
 // Instance is the instance that the endpoints report on and control.
@@ -60,14 +60,14 @@
 // NewServer returns a server for all endpoints of an instance.
 func NewServer(instance Instance, gatherer prometheus.Gatherer) *http.Server {
 	h := &handler{instance: instance}
-	requests, probes := make(slots, maxAnswers), make(slots, maxProbes)
+	requests, probes := make(semaphore, maxConcurrentRequests), make(semaphore, maxConcurrentProbes)
 	mux := http.NewServeMux()
-	mux.Handle("GET "+PathMetrics, requests.bound(promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{})))
-	mux.Handle("GET "+PathHealth, probes.bound(http.HandlerFunc(h.health)))
-	mux.Handle("GET "+PathReady, probes.bound(http.HandlerFunc(h.ready)))
-	mux.Handle("GET "+PathStatus, requests.bound(http.HandlerFunc(h.status)))
-	mux.Handle("GET "+PathExplain, requests.bound(http.HandlerFunc(h.explain)))
-	mux.Handle("POST "+PathDrain, probes.bound(http.HandlerFunc(h.drain)))
+	mux.Handle("GET "+PathMetrics, requests.limit(promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{})))
+	mux.Handle("GET "+PathHealth, probes.limit(http.HandlerFunc(h.health)))
+	mux.Handle("GET "+PathReady, probes.limit(http.HandlerFunc(h.ready)))
+	mux.Handle("GET "+PathStatus, requests.limit(http.HandlerFunc(h.status)))
+	mux.Handle("GET "+PathExplain, requests.limit(http.HandlerFunc(h.explain)))
+	mux.Handle("POST "+PathDrain, probes.limit(http.HandlerFunc(h.drain)))
 	// A web page open in an operator's browser must not be able to drain an instance.
 	return newServer(http.NewCrossOriginProtection().Handler(mux))
 }
@@ -76,7 +76,7 @@
 func NewReadyServer(instance Instance) *http.Server {
 	h := &handler{instance: instance}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+PathReady, make(slots, maxProbes).bound(http.HandlerFunc(h.ready)))
+	mux.Handle("GET "+PathReady, make(semaphore, maxConcurrentProbes).limit(http.HandlerFunc(h.ready)))
 	return newServer(mux)
 }
 
@@ -86,7 +86,7 @@
 		ReadTimeout:    ioTimeout,
 		WriteTimeout:   ioTimeout,
 		IdleTimeout:    time.Minute,
-		MaxHeaderBytes: maxHeader,
+		MaxHeaderBytes: maxHeaderBytes,
 	}
 }
 
@@ -94,12 +94,12 @@
 	instance Instance
 }
 
-// slots is a semaphore that limits concurrent requests.
-type slots chan struct{}
+// semaphore limits concurrent requests.
+type semaphore chan struct{}
 
-// bound wraps a handler: it refuses requests over the limit and sets the timeout for calls
+// limit wraps a handler: it refuses requests over the limit and sets the timeout for calls
 // to the core.
-func (s slots) bound(next http.Handler) http.Handler {
+func (s semaphore) limit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case s <- struct{}{}:
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -24,7 +24,7 @@
 	drained chan struct{}
 }
 
-func (f *fakeInstance) answer(ctx context.Context) error {
+func (f *fakeInstance) waitIfStuck(ctx context.Context) error {
 	if !f.stuck {
 		return nil
 	}
@@ -33,14 +33,14 @@
 }
 
 func (f *fakeInstance) Status(ctx context.Context) (core.Status, error) {
-	return core.Status{Instance: "entry-1", Generation: 7}, f.answer(ctx)
+	return core.Status{Instance: "entry-1", Generation: 7}, f.waitIfStuck(ctx)
 }
 
 func (f *fakeInstance) Explain(ctx context.Context, q core.ExplainQuery) (core.Explanation, error) {
-	return core.Explanation{ExplainQuery: q, Chosen: "engine-a"}, f.answer(ctx)
+	return core.Explanation{ExplainQuery: q, Chosen: "engine-a"}, f.waitIfStuck(ctx)
 }
 
-func (f *fakeInstance) Ready(ctx context.Context) (bool, error) { return f.ready, f.answer(ctx) }
+func (f *fakeInstance) Ready(ctx context.Context) (bool, error) { return f.ready, f.waitIfStuck(ctx) }
 
 func (f *fakeInstance) Drain() { close(f.drained) }
 
@@ -59,14 +59,14 @@
 	}
 }
 
-func TestOperatorsInterface(t *testing.T) {
+func TestAdminEndpoints(t *testing.T) {
 	f := &fakeInstance{drained: make(chan struct{})}
 	m := metrics.New()
 	m.Refused(reason.Saturated)
 	m.Answered("llm", time.Millisecond, time.Second)
-	m.InFlight(func() float64 { return 3 })
-	m.ReadControl(func() metrics.Control {
-		return metrics.Control{
+	m.RegisterInFlight(func() float64 { return 3 })
+	m.RegisterControl(func() metrics.ControlStats {
+		return metrics.ControlStats{
 			Traffic: []metrics.Traffic{{Kind: "digest", Direction: metrics.Sent, Messages: 2, Bytes: 90}},
 			Dropped: map[string]uint64{"digest": 1},
 		}
@@ -109,9 +109,9 @@
 	<-f.drained
 }
 
-// TestForeignPageCannotDrain guards against cross-site requests: a third-party page in an
+// TestCrossSiteRequestCannotDrain guards against cross-site requests: a third-party page in an
 // operator's browser posts a drain request to the instance on the same machine.
-func TestForeignPageCannotDrain(t *testing.T) {
+func TestCrossSiteRequestCannotDrain(t *testing.T) {
 	f := &fakeInstance{drained: make(chan struct{})}
 	req := httptest.NewRequest(http.MethodPost, admin.PathDrain, nil)
 	req.Header.Set("Sec-Fetch-Site", "cross-site")
@@ -125,11 +125,11 @@
 	}
 }
 
-// TestStuckCore guards against health checks that hang when the core no longer responds.
-// The load balancer would keep sending requests to the instance, and each would hang.
-// Health and readiness checks must fail within their timeout, and metrics must still be
-// served.
-func TestStuckCore(t *testing.T) {
+// TestUnresponsiveCoreFailsHealthChecks guards against health checks that hang when the core no
+// longer responds. The load balancer would keep sending requests to the instance, and each
+// would hang. Health and readiness checks must fail within their timeout, and metrics must
+// still be served.
+func TestUnresponsiveCoreFailsHealthChecks(t *testing.T) {
 	call := serve(t, &fakeInstance{ready: true, stuck: true}, metrics.New())
 	for _, path := range []string{admin.PathHealth, admin.PathReady, admin.PathStatus} {
 		code, body := call(http.MethodGet, path)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 // An instance is suspended until after the window of a claim, and its wall clock is stepped forward
 // and back while requests are in flight. After the resume the claim must count as expired. The
 // steps must neither end the requests early nor extend their deadlines.
-func TestSuspensionCountsAndStepsDoNot(t *testing.T) {
+func TestClockCountsSuspensionAndIgnoresSteps(t *testing.T) {
 	sinceBoot := time.Duration(0)
 	start := time.Now()
 	c := newClock(start, func() time.Duration { return sinceBoot })
@@ -25,7 +25,7 @@
 
 // Deadlines are compared with times of this clock. Times with a monotonic clock reading would be
 // compared by that reading, which does not advance while the machine is suspended.
-func TestTimesHoldNoSteadyReading(t *testing.T) {
+func TestNowHasNoMonotonicReading(t *testing.T) {
 	c := New()
 	before := c.Now()
 	require.Equal(t, before, before.Round(0))
--- a/internal/core/config/check.go
+++ b/internal/core/config/check.go
@@ -46,7 +46,7 @@
 // holds every finding, in the order of the text.
 func Check(file string, env Envelope) (*Snapshot, error) {
 	if problem := storageProblem(env.Text); problem != "" {
-		return nil, Findings{{File: file, Line: 1, Column: 1, What: problem}}
+		return nil, Findings{{File: file, Line: 1, Column: 1, Message: problem}}
 	}
 	doc, err := jsonc.Parse(file, []byte(env.Text))
 	if err != nil {
@@ -310,7 +310,7 @@
 
 // position returns the position of a path as line:column.
 func (c *checker) position(path string) string {
-	line, column := c.doc.Place(path)
+	line, column := c.doc.Position(path)
 	return fmt.Sprintf("%d:%d", line, column)
 }
 
--- a/internal/core/configs.go
+++ b/internal/core/configs.go
@@ -138,7 +138,7 @@
 	}
 	var env config.Envelope
 	if err := json.Unmarshal(e.Value, &env); err != nil {
-		n.rejectConfig(env, config.Findings{{File: ConfigKey, Line: 1, Column: 1, What: err.Error()}})
+		n.rejectConfig(env, config.Findings{{File: ConfigKey, Line: 1, Column: 1, Message: err.Error()}})
 		return
 	}
 	n.offerConfig(ConfigOffer{Envelope: env})
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -6,10 +6,10 @@
 )
 
 // readControl returns a function that reads the control traffic counters of the links.
-func readControl(links *peer.Links) func() metrics.Control {
-	return func() metrics.Control {
+func readControl(links *peer.Links) func() metrics.ControlStats {
+	return func() metrics.ControlStats {
 		now := links.Stats().Snapshot()
-		c := metrics.Control{Dropped: make(map[string]uint64)}
+		c := metrics.ControlStats{Dropped: make(map[string]uint64)}
 		for _, kind := range peer.Kinds() {
 			c.Traffic = append(c.Traffic,
 				traffic(kind, metrics.Sent, now.Out[kind]),
@@ -18,7 +18,7 @@
 		for kind, n := range now.Dropped {
 			c.Dropped[kind.String()] = n
 		}
-		c.Strangers, c.BadFrames = now.Strangers, now.BadFrames
+		c.UnknownPeers, c.BadFrames = now.RejectedConns, now.BadFrames
 		return c
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,14 +39,14 @@
 	incarnation := uint64(time.Now().UnixNano())
 	counters := metrics.New()
 	loop := NewLoop(core.New(coreSettings(s, incarnation)))
-	loop.CountIn(counters)
+	loop.SetMetrics(counters)
 	listeners, err := listen(ctx, s)
 	if err != nil {
 		return err
 	}
 	calls := newStoreCalls(ctx, loop.Post, s)
-	links := newLinks(s, incarnation, listeners.peers, calls.readOffers(loop.Post))
-	counters.ReadControl(readControl(links))
+	links := newLinks(s, incarnation, listeners.peers, calls.translateOffers(loop.Post))
+	counters.RegisterControl(readControl(links))
 	options := proxyOptions(&s.Limits, counters)
 	options.Now = loop.Now
 	options.Dialect = dialect(s)
@@ -72,7 +72,7 @@
 		case <-signals.Stop:
 			klog.InfoS("stop requested", "instance", s.Name)
 			loop.Post(core.StopRequested{})
-			cutShort(ctx, time.Duration(grace.Load()), cancel)
+			enforceGracePeriod(ctx, time.Duration(grace.Load()), cancel)
 		case <-ctx.Done():
 		}
 		return nil
@@ -96,8 +96,8 @@
 		Seed:           rand.Uint64(),
 		AcceptDelay:    time.Duration(s.AcceptDelay),
 		StopGrace:      time.Duration(s.StopGrace),
-		ConfigReadOnly: s.Dialect == settings.Platform,
-		NoPolls:        s.Dialect == settings.Platform,
+		ConfigReadOnly: s.Dialect == settings.DialectPlatform,
+		NoPolls:        s.Dialect == settings.DialectPlatform,
 	}
 }
 
@@ -117,9 +117,9 @@
 // killed. It suffices to send the last bytes with a tenth of a processor.
 const stopMargin = 300 * time.Millisecond
 
-// cutShort ends the process shortly before it would be killed, unless grace is 0.
+// enforceGracePeriod ends the process shortly before it would be killed, unless grace is 0.
 // Requests still in progress would be aborted by the kill anyway; here they end in an orderly way.
-func cutShort(ctx context.Context, grace time.Duration, cancel context.CancelFunc) {
+func enforceGracePeriod(ctx context.Context, grace time.Duration, cancel context.CancelFunc) {
 	if grace == 0 {
 		return
 	}
@@ -133,7 +133,7 @@
 
 // dialect returns the callers' interface that the settings select.
 func dialect(s *settings.Settings) proxy.Dialect {
-	if s.Dialect == settings.Platform {
+	if s.Dialect == settings.DialectPlatform {
 		return platform.Dialect{}
 	}
 	return proxy.Native{}
--- a/internal/daemon/executor.go
+++ b/internal/daemon/executor.go
@@ -22,7 +22,7 @@
 // Execute starts an effect without waiting for its completion. Log lines are written by another
 // goroutine, because a blocked log output would otherwise block the core.
 func (x *executor) Execute(effect core.Effect) {
-	if x.callStore(effect) {
+	if x.startStoreCall(effect) {
 		return
 	}
 	switch e := effect.(type) {
@@ -33,7 +33,7 @@
 	case core.Finish:
 		x.proxy.Deliver(e.Request, e)
 	case core.SetPeers:
-		x.links.Set(e.Peers)
+		x.links.SetPeers(e.Peers)
 	case core.SendPeer:
 		x.links.Send(e.To, e.Message)
 	case core.ConfigApplied:
@@ -50,12 +50,12 @@
 	case core.PollReport:
 		go x.pollReport(e)
 	case core.Stopped:
-		go x.drained()
+		go x.finishShutdown()
 	}
 }
 
-// callStore starts a store call if the effect is one, and reports whether it is.
-func (x *executor) callStore(effect core.Effect) bool {
+// startStoreCall starts a store call if the effect is one, and reports whether it is.
+func (x *executor) startStoreCall(effect core.Effect) bool {
 	switch e := effect.(type) {
 	case core.StoreGet:
 		go x.store.get(e)
@@ -79,10 +79,10 @@
 	return true
 }
 
-// drained ends the process once the last response is sent. The core only knows that the
+// finishShutdown ends the process once the last response is sent. The core only knows that the
 // responses of the backend servers were read completely; their last bytes may not have been sent
 // yet.
-func (x *executor) drained() {
+func (x *executor) finishShutdown() {
 	x.proxy.Drain()
 	x.stop()
 }
--- a/internal/daemon/inspect.go
+++ b/internal/daemon/inspect.go
@@ -17,32 +17,32 @@
 // scrapeTimeout bounds the wait for the core during a scrape of the metrics.
 const scrapeTimeout = time.Second
 
-// instance gives the operators' interface access to the core.
-type instance struct {
+// coreView gives the operators' interface access to the core.
+type coreView struct {
 	loop *Loop
 }
 
 // Status returns the instance's status.
-func (v instance) Status(ctx context.Context) (core.Status, error) {
+func (v coreView) Status(ctx context.Context) (core.Status, error) {
 	return Inspect(ctx, v.loop, (*core.Node).Status)
 }
 
 // Explain returns the explanation of a placement.
-func (v instance) Explain(ctx context.Context, q core.ExplainQuery) (core.Explanation, error) {
+func (v coreView) Explain(ctx context.Context, q core.ExplainQuery) (core.Explanation, error) {
 	return Inspect(ctx, v.loop, func(n *core.Node) core.Explanation { return n.Explain(q) })
 }
 
 // Ready reports whether the instance accepts new requests.
-func (v instance) Ready(ctx context.Context) (bool, error) {
+func (v coreView) Ready(ctx context.Context) (bool, error) {
 	return Inspect(ctx, v.loop, (*core.Node).Ready)
 }
 
 // Drain starts the graceful shutdown.
-func (v instance) Drain() { v.loop.Post(core.StopRequested{}) }
+func (v coreView) Drain() { v.loop.Post(core.StopRequested{}) }
 
 // inFlight returns the number of requests in flight, or NaN if the core does not respond within
 // scrapeTimeout.
-func (v instance) inFlight() float64 {
+func (v coreView) inFlight() float64 {
 	ctx, cancel := context.WithTimeout(context.Background(), scrapeTimeout)
 	defer cancel()
 	n, err := Inspect(ctx, v.loop, (*core.Node).InFlight)
@@ -55,8 +55,8 @@
 // serveAdmin serves the operators' interface on l until ctx is done. That includes the graceful
 // shutdown, so that operators can observe it.
 func serveAdmin(ctx context.Context, l net.Listener, loop *Loop, m *metrics.Metrics) error {
-	v := instance{loop: loop}
-	m.InFlight(v.inFlight)
+	v := coreView{loop: loop}
+	m.RegisterInFlight(v.inFlight)
 	return serveHTTP(ctx, l, admin.NewServer(v, m.Gatherer()))
 }
 
@@ -65,7 +65,7 @@
 	if l == nil {
 		return nil
 	}
-	return serveHTTP(ctx, l, admin.NewReadyServer(instance{loop: loop}))
+	return serveHTTP(ctx, l, admin.NewReadyServer(coreView{loop: loop}))
 }
 
 func serveHTTP(ctx context.Context, l net.Listener, server *http.Server) error {
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -23,28 +23,28 @@
 
 // Loop is the event loop of a core.
 type Loop struct {
-	node     *core.Node
-	clock    *clock.Clock
-	events   chan core.Event
-	inspects chan func(*core.Node)
-	exec     Executor
-	meter    *meter
-	done     chan struct{}
+	node        *core.Node
+	clock       *clock.Clock
+	events      chan core.Event
+	inspections chan func(*core.Node)
+	exec        Executor
+	meter       *meter
+	done        chan struct{}
 }
 
 // NewLoop returns an event loop for node.
 func NewLoop(node *core.Node) *Loop {
 	return &Loop{
-		node:     node,
-		clock:    clock.New(),
-		events:   make(chan core.Event, eventQueue),
-		inspects: make(chan func(*core.Node)),
-		done:     make(chan struct{}),
+		node:        node,
+		clock:       clock.New(),
+		events:      make(chan core.Event, eventQueue),
+		inspections: make(chan func(*core.Node)),
+		done:        make(chan struct{}),
 	}
 }
 
-// CountIn counts events and effects in m. It must be called before Run.
-func (l *Loop) CountIn(m *metrics.Metrics) { l.meter = newMeter(m) }
+// SetMetrics counts events and effects in m. It must be called before Run.
+func (l *Loop) SetMetrics(m *metrics.Metrics) { l.meter = newMeter(m) }
 
 // Now returns the time on the core's clock. Components that pass times to the core use the same
 // clock.
@@ -72,7 +72,7 @@
 			return ctx.Err()
 		case event := <-l.events:
 			l.handle(event)
-		case inspect := <-l.inspects:
+		case inspect := <-l.inspections:
 			inspect(l.node)
 		case <-ticker.C:
 			l.handle(core.Ticked{})
@@ -95,7 +95,7 @@
 	result := make(chan T, 1)
 	var none T
 	select {
-	case l.inspects <- func(n *core.Node) { result <- f(n) }:
+	case l.inspections <- func(n *core.Node) { result <- f(n) }:
 	case <-ctx.Done():
 		return none, fmt.Errorf("daemon: the core does not answer: %w", ctx.Err())
 	}
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -15,10 +15,10 @@
 
 func (ignoreEffects) Execute(core.Effect) {}
 
-// TestInspectIsBounded requests the status of a core before its loop runs, as if the core
+// TestInspectReturnsByDeadline requests the status of a core before its loop runs, as if the core
 // were stuck, and afterwards. An operator's request must return by its deadline, and an expired
 // request must not take the core's time later.
-func TestInspectIsBounded(t *testing.T) {
+func TestInspectReturnsByDeadline(t *testing.T) {
 	loop := daemon.NewLoop(core.New(core.Settings{Name: "entry-1"}))
 	short, cancelShort := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancelShort()
--- a/internal/daemon/metered.go
+++ b/internal/daemon/metered.go
@@ -36,9 +36,9 @@
 	case core.Counted:
 		m.metrics.Count(e.Counter, e.Label, e.N)
 	case core.ConfigApplied:
-		m.metrics.Generation(e.Generation)
+		m.metrics.SetGeneration(e.Generation)
 	case core.SetReady:
-		m.metrics.Ready(e.Ready)
+		m.metrics.SetReady(e.Ready)
 	case core.StoreGet:
 		m.calls[e.Op] = callGet
 	case core.StoreSwap:
@@ -65,21 +65,21 @@
 	}
 	switch e := event.(type) {
 	case core.StoreReplied:
-		m.ended(e.Op, string(e.Status))
+		m.callEnded(e.Op, string(e.Status))
 	case core.BackendsRead:
-		m.ended(e.Op, string(e.Status))
+		m.callEnded(e.Op, string(e.Status))
 	case core.LeaseReplied:
-		m.ended(e.Op, string(e.Status))
+		m.callEnded(e.Op, string(e.Status))
 	case core.InstancesListed:
 		result := string(core.StoreOK)
 		if e.Failed {
 			result = string(core.StoreFailed)
 		}
-		m.ended(e.Op, result)
+		m.callEnded(e.Op, result)
 	}
 }
 
-func (m *meter) ended(op core.OpID, result string) {
+func (m *meter) callEnded(op core.OpID, result string) {
 	kind, ok := m.calls[op]
 	delete(m.calls, op)
 	if ok {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -21,21 +21,21 @@
 type reloader struct {
 	path   string
 	signal <-chan os.Signal
-	// text holds the file as of the last check. It is empty before the first check, so
+	// content holds the file as of the last check. It is empty before the first check, so
 	// that a change between the start of the process and the first check is detected.
-	text []byte
+	content []byte
 	// unreadable is set while the file cannot be read, so that the error is logged only once.
 	unreadable bool
 	// started holds the settings at the start of the process, now those of the last valid file.
-	started, now *settings.Settings
-	// apply is called with changed settings that have no findings.
-	apply func(*settings.Settings)
+	started, current *settings.Settings
+	// onChange is called with changed settings that have no findings.
+	onChange func(*settings.Settings)
 }
 
 // newReloader returns a reloader of the file at path, whose settings at the start are s. An empty
 // path disables reloading.
 func newReloader(path string, signal <-chan os.Signal, s *settings.Settings, onChange func(*settings.Settings)) *reloader {
-	return &reloader{path: path, signal: signal, started: s, now: s, apply: onChange}
+	return &reloader{path: path, signal: signal, started: s, current: s, onChange: onChange}
 }
 
 // run checks the file at each signal and at each reloadInterval until ctx is done.
@@ -70,45 +70,45 @@
 		return
 	}
 	r.unreadable = false
-	if bytes.Equal(content, r.text) {
+	if bytes.Equal(content, r.content) {
 		return
 	}
-	r.text = content
+	r.content = content
 	s, err := settings.Parse(r.path, content)
 	if err != nil {
 		klog.ErrorS(err, "changed settings are invalid; keeping the current settings", "file", r.path)
 		return
 	}
-	r.take(s)
+	r.applyChanges(s)
 }
 
-// take applies settings that differ from the current ones.
-func (r *reloader) take(s *settings.Settings) {
-	if reflect.DeepEqual(r.now, s) {
+// applyChanges applies settings that differ from the current ones.
+func (r *reloader) applyChanges(s *settings.Settings) {
+	if reflect.DeepEqual(r.current, s) {
 		return
 	}
 	applied, pending := r.changes(s)
 	klog.InfoS("settings reloaded", "applied", applied, "needRestart", pending)
-	r.now = s
-	r.apply(s)
+	r.current = s
+	r.onChange(s)
 }
 
-// live lists the settings that can change without a restart.
-var live = map[string]bool{"bounds": true, "log_verbosity": true, "stop_grace": true}
+// reloadable lists the settings that can change without a restart.
+var reloadable = map[string]bool{"bounds": true, "log_verbosity": true, "stop_grace": true}
 
 // changes returns the names of the changed settings in s. Those that take effect now are compared
 // with the current settings, and those that need a restart with the settings at the start.
 func (r *reloader) changes(s *settings.Settings) (applied, pending []string) {
-	started, current, next := reflect.ValueOf(*r.started), reflect.ValueOf(*r.now), reflect.ValueOf(*s)
+	started, current, next := reflect.ValueOf(*r.started), reflect.ValueOf(*r.current), reflect.ValueOf(*s)
 	differ := func(old reflect.Value, i int) bool {
 		return !reflect.DeepEqual(old.Field(i).Interface(), next.Field(i).Interface())
 	}
 	for i := range next.NumField() {
 		name, _, _ := strings.Cut(next.Type().Field(i).Tag.Get("json"), ",")
 		switch {
-		case live[name] && differ(current, i):
+		case reloadable[name] && differ(current, i):
 			applied = append(applied, name)
-		case !live[name] && differ(started, i):
+		case !reloadable[name] && differ(started, i):
 			pending = append(pending, name)
 		}
 	}
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -13,7 +13,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/settings"
 )
 
-const reloadText = `{
+const settingsText = `{
   "name": "entry-1",
   "zone": "recife-a",
   "listen": "0.0.0.0:7080",
@@ -22,18 +22,18 @@
   "stop_grace": "8s",
 }`
 
-// reloaded is a reloader with the settings that it has applied.
-type reloaded struct {
+// testReloader is a reloader with the settings that it has applied.
+type testReloader struct {
 	*reloader
 	t       *testing.T
 	applied []*settings.Settings
 }
 
-func newReloaded(t *testing.T) *reloaded {
+func newTestReloader(t *testing.T) *testReloader {
 	t.Helper()
-	r := &reloaded{t: t}
+	r := &testReloader{t: t}
 	path := filepath.Join(t.TempDir(), "settings.json")
-	require.NoError(t, os.WriteFile(path, []byte(reloadText), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(settingsText), 0o600))
 	s, err := settings.Read(path)
 	require.NoError(t, err)
 	r.reloader = newReloader(path, nil, s, func(s *settings.Settings) { r.applied = append(r.applied, s) })
@@ -41,9 +41,9 @@
 }
 
 // write replaces old by text in the original file and reloads it.
-func (r *reloaded) write(old, text string) {
+func (r *testReloader) write(old, text string) {
 	r.t.Helper()
-	changed := strings.Replace(reloadText, old, text, 1)
+	changed := strings.Replace(settingsText, old, text, 1)
 	require.NoError(r.t, os.WriteFile(r.path, []byte(changed), 0o600))
 	r.reload()
 }
@@ -51,8 +51,8 @@
 // The platform rewrites the settings file of a running instance, with or without a signal. Settings
 // that can change without a restart must be applied. A file that cannot be read or has findings
 // must change nothing, and the next valid file must be applied.
-func TestChangedSettingsAreTaken(t *testing.T) {
-	r := newReloaded(t)
+func TestReloadAppliesChangedSettings(t *testing.T) {
+	r := newTestReloader(t)
 	r.reload()
 	require.Empty(t, r.applied, "nothing has changed")
 
@@ -74,12 +74,12 @@
 // The settings file is rewritten after the process has read it at its start and before the first
 // check for changes. That change was never applied: the first check compared the file with the
 // changed content and not with the content read at the start.
-func TestAChangeDuringTheStartIsTaken(t *testing.T) {
+func TestReloadAppliesChangeMadeDuringStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
-	require.NoError(t, os.WriteFile(path, []byte(reloadText), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(settingsText), 0o600))
 	s, err := settings.Read(path)
 	require.NoError(t, err)
-	changed := strings.Replace(reloadText, `"8s"`, `"20s"`, 1)
+	changed := strings.Replace(settingsText, `"8s"`, `"20s"`, 1)
 	require.NoError(t, os.WriteFile(path, []byte(changed), 0o600))
 	var applied []*settings.Settings
 	r := newReloader(path, nil, s, func(s *settings.Settings) { applied = append(applied, s) })
@@ -92,16 +92,16 @@
 
 // An address, which can change only with a restart, is changed and changed back. The log then
 // reported that a restart was needed, although the process ran with the settings of the file.
-func TestAChangeTakenBackNeedsNoRestart(t *testing.T) {
-	r := newReloaded(t)
+func TestRevertedChangeNeedsNoRestart(t *testing.T) {
+	r := newTestReloader(t)
 	started := r.started
 	r.write("7080", "7085")
-	applied, pending := r.changes(r.now)
+	applied, pending := r.changes(r.current)
 	require.Empty(t, applied)
 	require.Equal(t, []string{"listen"}, pending)
 
 	r.write("7080", "7080")
-	_, pending = r.changes(r.now)
+	_, pending = r.changes(r.current)
 	require.Empty(t, pending)
 	require.Same(t, started, r.started)
 }
--- a/internal/daemon/storecalls.go
+++ b/internal/daemon/storecalls.go
@@ -26,10 +26,10 @@
 	// watchSlack is the time that a watch may take beyond the requested wait before its
 	// connection counts as dead. It is many times the store's usual response time.
 	watchSlack = 500 * time.Millisecond
-	// lostWatchRead is the time reserved for the read that follows a watch without a response.
-	lostWatchRead = 500 * time.Millisecond
-	// leastWatchWait is the minimum wait of a watch. A shorter wait would amount to polling.
-	leastWatchWait = 500 * time.Millisecond
+	// rereadAllowance is the time reserved for the read that follows a watch without a response.
+	rereadAllowance = 500 * time.Millisecond
+	// minWatchWait is the minimum wait of a watch. A shorter wait would amount to polling.
+	minWatchWait = 500 * time.Millisecond
 )
 
 // watchWait returns how long the store is asked to hold a watch. A failing store may drop a watch
@@ -38,7 +38,7 @@
 // expect every instance to know the changes made during an outage. The wait is no shorter than
 // necessary, because each watch that ends without a change costs a call.
 func watchWait(settle time.Duration) time.Duration {
-	return max(leastWatchWait, settle-watchSlack-lostWatchRead)
+	return max(minWatchWait, settle-watchSlack-rereadAllowance)
 }
 
 // instancePrefix is the prefix of the keys of the instances' entries in the store.
@@ -57,9 +57,9 @@
 	// operators is set if the operators write the configuration in the platform's format. The
 	// configuration is then read from platform.ConfigKey and translated.
 	operators *operatorConfig
-	// watched is the position of the configuration watch: the version that is known and the store
+	// configWatch is the position of the configuration watch: the version that is known and the store
 	// revision from which to continue. Only the one pending call on the key uses it.
-	watched struct {
+	configWatch struct {
 		version, revision uint64
 	}
 }
@@ -77,7 +77,7 @@
 		ctx: ctx, post: post, client: platform.NewClient(s.Platform), instance: s.Name,
 		watchWait: watchWait(time.Duration(s.PlatformSettle)),
 	}
-	if s.Dialect == settings.Platform {
+	if s.Dialect == settings.DialectPlatform {
 		calls.operators = &operatorConfig{}
 		calls.operators.bounds.Store(boundsOf(s.Bounds))
 	}
@@ -86,7 +86,7 @@
 
 func boundsOf(b settings.Bounds) *platform.Bounds {
 	return &platform.Bounds{
-		Skew: b.SkewBound, SkewSlack: b.SkewSlack, RetryShare: b.RetryShare, RetryBurst: b.RetryBurst,
+		SkewBound: b.SkewBound, SkewSlack: b.SkewSlack, RetryShare: b.RetryShare, RetryBurst: b.RetryBurst,
 	}
 }
 
@@ -97,10 +97,10 @@
 	}
 	s.operators.bounds.Store(boundsOf(b))
 	s.operators.edits.Add(1)
-	go s.offerAgain()
+	go s.reofferConfig()
 }
 
-func (s *storeCalls) offerAgain() {
+func (s *storeCalls) reofferConfig() {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	value, _, err := s.client.Get(ctx, platform.ConfigKey)
@@ -131,10 +131,10 @@
 	}, nil
 }
 
-// readOffers returns a function that translates the configurations offered by peers before it
+// translateOffers returns a function that translates the configurations offered by peers before it
 // passes the events to post. The goroutines that receive the offers translate them, so that the
 // core is not blocked meanwhile.
-func (s *storeCalls) readOffers(post func(core.Event)) func(core.Event) {
+func (s *storeCalls) translateOffers(post func(core.Event)) func(core.Event) {
 	if s.operators == nil {
 		return post
 	}
@@ -159,13 +159,13 @@
 	defer cancel()
 	item, revision, err := s.client.Read(ctx, s.keyOf(e.Key))
 	if e.Key == core.ConfigKey {
-		s.watched.version, s.watched.revision = item.Revision, revision
+		s.configWatch.version, s.configWatch.revision = item.Revision, revision
 	}
-	s.replied(e.Op, e.Key, item, err)
+	s.postReadResult(e.Op, e.Key, item, err)
 }
 
-// replied posts the result of a read.
-func (s *storeCalls) replied(op core.OpID, key string, item store.Item, err error) {
+// postReadResult posts the result of a read.
+func (s *storeCalls) postReadResult(op core.OpID, key string, item store.Item, err error) {
 	reply := core.StoreReplied{Op: op, Version: item.Revision, Value: item.Value}
 	if err == nil && key == core.ConfigKey && s.operators != nil {
 		reply.Value = nil
@@ -205,8 +205,8 @@
 // watch waits until the version of a key differs from the known one.
 func (s *storeCalls) watch(e core.StoreWatch) {
 	after := e.Version
-	if s.watched.version == e.Version {
-		after = max(after, s.watched.revision)
+	if s.configWatch.version == e.Version {
+		after = max(after, s.configWatch.revision)
 	}
 	if after == 0 {
 		s.get(core.StoreGet{Op: e.Op, Key: e.Key})
@@ -221,7 +221,7 @@
 		s.get(core.StoreGet{Op: e.Op, Key: e.Key})
 		return
 	case err != nil:
-		s.replied(e.Op, e.Key, store.Item{}, err)
+		s.postReadResult(e.Op, e.Key, store.Item{}, err)
 		return
 	}
 	if page.Revision < after {
@@ -230,22 +230,22 @@
 		s.get(core.StoreGet{Op: e.Op, Key: e.Key})
 		return
 	}
-	s.watched.version, s.watched.revision = e.Version, page.Revision
-	newest, found := newestOf(page.Items, key)
+	s.configWatch.version, s.configWatch.revision = e.Version, page.Revision
+	newest, found := latestChange(page.Items, key)
 	switch {
 	case !found:
 		s.post(core.StoreReplied{Op: e.Op, Status: core.StoreUnchanged})
 	case newest.Deleted:
-		s.watched.version = 0
-		s.replied(e.Op, e.Key, store.Item{}, store.ErrAbsent)
+		s.configWatch.version = 0
+		s.postReadResult(e.Op, e.Key, store.Item{}, store.ErrAbsent)
 	default:
-		s.watched.version = newest.Revision
-		s.replied(e.Op, e.Key, newest, nil)
+		s.configWatch.version = newest.Revision
+		s.postReadResult(e.Op, e.Key, newest, nil)
 	}
 }
 
-// newestOf returns the latest change of a key.
-func newestOf(changes []store.Item, key string) (newest store.Item, found bool) {
+// latestChange returns the latest change of a key.
+func latestChange(changes []store.Item, key string) (newest store.Item, found bool) {
 	for _, c := range changes {
 		if c.Key == key && c.Revision >= newest.Revision {
 			newest, found = c, true
@@ -258,17 +258,17 @@
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	page, err := s.client.Range(ctx, platform.BackendPrefix, e.After, false)
-	s.backendsRead(e.Op, page, err)
+	s.postBackends(e.Op, page, err)
 }
 
 func (s *storeCalls) watchBackends(e core.WatchBackends) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.watchWait+watchSlack)
 	defer cancel()
 	page, err := s.client.Watch(ctx, platform.BackendPrefix, e.After, s.watchWait)
-	s.backendsRead(e.Op, page, err)
+	s.postBackends(e.Op, page, err)
 }
 
-func (s *storeCalls) backendsRead(op core.OpID, page store.Page, err error) {
+func (s *storeCalls) postBackends(op core.OpID, page store.Page, err error) {
 	out := core.BackendsRead{Op: op, Status: storeStatus(err), Revision: page.Revision}
 	if err != nil {
 		klog.V(1).InfoS("failed to read the entries of the backend servers", "error", err)
@@ -301,7 +301,7 @@
 func (s *storeCalls) listInstances(e core.ListInstances) {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
-	listed, err := s.instances(ctx)
+	listed, err := s.readInstances(ctx)
 	if err != nil {
 		klog.V(1).InfoS("failed to read the entries of the instances", "error", err)
 		listed = core.InstancesListed{Failed: true}
@@ -310,9 +310,9 @@
 	s.post(listed)
 }
 
-// instances reads the entries of all instances. Stale reads suffice, because the instances
+// readInstances reads the entries of all instances. Stale reads suffice, because the instances
 // report recent arrivals and departures themselves, and they cost a tenth of a consistent read.
-func (s *storeCalls) instances(ctx context.Context) (listed core.InstancesListed, err error) {
+func (s *storeCalls) readInstances(ctx context.Context) (listed core.InstancesListed, err error) {
 	for after := ""; ; {
 		page, err := s.client.Range(ctx, instancePrefix, after, true)
 		if err != nil {
@@ -339,33 +339,33 @@
 func (s *storeCalls) register(e core.Register) {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
-	lease, err := s.holdEntry(ctx, e)
+	lease, err := s.putEntry(ctx, e)
 	if err != nil {
 		klog.InfoS("failed to register in the store", "error", err)
 	}
 	s.post(core.LeaseReplied{Op: e.Op, Status: storeStatus(err), Lease: lease})
 }
 
-func (s *storeCalls) holdEntry(ctx context.Context, e core.Register) (lease uint64, err error) {
+func (s *storeCalls) putEntry(ctx context.Context, e core.Register) (lease uint64, err error) {
 	value, err := json.Marshal(e.Instance)
 	if err != nil {
 		return e.Lease, fmt.Errorf("daemon: encode the entry of this instance: %w", err)
 	}
 	lease = e.Lease
 	if lease == 0 {
-		granted, err := s.client.Grant(ctx, e.TTL)
+		granted, err := s.client.GrantLease(ctx, e.TTL)
 		if err != nil {
 			return 0, err
 		}
 		lease = granted.ID
 	}
-	return lease, s.client.Hold(ctx, instancePrefix+e.Instance.Name, value, lease)
+	return lease, s.client.PutWithLease(ctx, instancePrefix+e.Instance.Name, value, lease)
 }
 
 func (s *storeCalls) renewLease(e core.RenewLease) {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
-	err := s.client.Keep(ctx, e.Lease)
+	err := s.client.RenewLease(ctx, e.Lease)
 	if err != nil {
 		klog.InfoS("failed to renew the lease", "lease", e.Lease, "error", err)
 	}
@@ -383,7 +383,7 @@
 		return core.StoreConflict
 	case errors.Is(err, store.ErrHistoryLost):
 		return core.StoreHistoryLost
-	case errors.Is(err, store.ErrNotDone):
+	case errors.Is(err, store.ErrNotApplied):
 		return core.StoreFailed
 	default:
 		return core.StoreUnknown
--- a/internal/daemon/storecalls_test.go
+++ b/internal/daemon/storecalls_test.go
@@ -18,7 +18,7 @@
 // at the same time the operators write a configuration. All instances that watch the store waited
 // for the timeouts of their watches and meanwhile refused API keys of the new configuration, for
 // longer than the operators allow after such an outage.
-func TestALostWatchIsNoticedBeforeItsNewsIsOwed(t *testing.T) {
+func TestLostWatchTimesOutBeforeSettleTime(t *testing.T) {
 	held := make(chan time.Duration, 2)
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes is the number of consecutive unanswered keep-alive probes after which a
+// keepAliveProbes is the number of consecutive unanswered keep-alive probes after which a
 // connection is closed. With two, a single lost packet does not close a connection.
-const probes = 2
+const keepAliveProbes = 2
 
 // Dialer returns a dialer with the given timeout for the connection setup. Its connections fail if
 // neither sent data nor, on an idle connection, keep-alive probes are acknowledged for about
@@ -25,9 +25,9 @@
 		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     ackTimeout / (probes + 1),
-			Interval: ackTimeout / (probes + 1),
-			Count:    probes,
+			Idle:     ackTimeout / (keepAliveProbes + 1),
+			Interval: ackTimeout / (keepAliveProbes + 1),
+			Count:    keepAliveProbes,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error { return limitUnacknowledged(raw, ackTimeout) },
 	}
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -14,7 +14,7 @@
 // The network path to the store breaks while a watch is pending, and no packet reports it. The
 // keep-alive probes and the limit on unacknowledged data must end the watch. A test without
 // privileges cannot drop packets, so it checks the socket options.
-func TestConnectionsNoticeACut(t *testing.T) {
+func TestConnectionsDetectBrokenPath(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -16,13 +16,13 @@
 
 // Errors for an edit that is not, or not certainly, in the store.
 var (
-	// ErrLostRace means that another edit was written first and nothing was written.
-	ErrLostRace = errors.New("lost the race")
-	// ErrUnknown means that the edit may or may not have been written.
-	ErrUnknown = errors.New("outcome unknown")
-	// ErrStoreWentBack means that the store returned to an older state: instances have a
+	// ErrConflict means that another edit was written first and nothing was written.
+	ErrConflict = errors.New("lost the race")
+	// ErrOutcomeUnknown means that the edit may or may not have been written.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
+	// ErrStoreRolledBack means that the store returned to an older state: instances have a
 	// higher generation in force than it holds. Nothing was written.
-	ErrStoreWentBack = errors.New("the store went back")
+	ErrStoreRolledBack = errors.New("the store went back")
 )
 
 // retryDelay is the delay before a write whose response was lost is retried.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := e.mayFollow(stored); err != nil {
+	if err := e.checkBase(stored); err != nil {
 		return 0, err
 	}
 	envelope := config.Envelope{
@@ -81,15 +81,15 @@
 	return envelope.Generation, e.write(ctx, s, version, value)
 }
 
-// mayFollow returns an error if the edit must not replace the stored configuration.
-func (e Edit) mayFollow(stored config.Envelope) error {
+// checkBase returns an error if the edit must not replace the stored configuration.
+func (e Edit) checkBase(stored config.Envelope) error {
 	newest := max(stored.Generation, e.InForce)
 	if e.Base != nil && *e.Base != newest {
 		return fmt.Errorf("%w: the text is based on generation %d, but generation %d (edit %q in the store) is newer",
-			ErrLostRace, *e.Base, newest, stored.Edit)
+			ErrConflict, *e.Base, newest, stored.Edit)
 	}
 	if stored.Generation < e.InForce && e.Base == nil {
-		return fmt.Errorf("%w: it holds generation %d, but generation %d is in force", ErrStoreWentBack, stored.Generation, e.InForce)
+		return fmt.Errorf("%w: it holds generation %d, but generation %d is in force", ErrStoreRolledBack, stored.Generation, e.InForce)
 	}
 	return nil
 }
@@ -109,32 +109,32 @@
 		case err == nil:
 			return nil
 		case errors.Is(err, store.ErrConflict):
-			return e.readBack(ctx, s, outcomeUnknown)
-		case errors.Is(err, store.ErrNotDone) && !outcomeUnknown:
+			return e.resolveConflict(ctx, s, outcomeUnknown)
+		case errors.Is(err, store.ErrNotApplied) && !outcomeUnknown:
 			return fmt.Errorf("write: nothing was written: %w", err)
 		}
 		outcomeUnknown = true
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w: the response to the write was lost: %w", ErrUnknown, err)
+			return fmt.Errorf("%w: the response to the write was lost: %w", ErrOutcomeUnknown, err)
 		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// readBack reads the store after a conflict and returns nil if this edit caused it.
-func (e Edit) readBack(ctx context.Context, s store.Store, outcomeUnknown bool) error {
+// resolveConflict reads the store after a conflict and returns nil if this edit caused it.
+func (e Edit) resolveConflict(ctx context.Context, s store.Store, outcomeUnknown bool) error {
 	stored, _, err := Read(ctx, s)
 	switch {
 	case err == nil && stored.Edit == e.ID:
 		return nil
 	case !outcomeUnknown:
-		return fmt.Errorf("%w: edit %q (generation %d) was written first", ErrLostRace, stored.Edit, stored.Generation)
+		return fmt.Errorf("%w: edit %q (generation %d) was written first", ErrConflict, stored.Edit, stored.Generation)
 	case err != nil:
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	default:
 		// The write may have taken effect before the stored edit replaced it.
 		return fmt.Errorf("%w: the response to the write was lost and the store now holds edit %q (generation %d)",
-			ErrUnknown, stored.Edit, stored.Generation)
+			ErrOutcomeUnknown, stored.Edit, stored.Generation)
 	}
 }
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -14,7 +14,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/store"
 )
 
-var errLost = errors.New("connection reset")
+var errConnectionReset = errors.New("connection reset")
 
 // fakeStore holds one key. Each Swap first applies the next of its faults.
 type fakeStore struct {
@@ -24,7 +24,7 @@
 	swaps   int
 }
 
-func storeWith(t *testing.T, generation uint64) *fakeStore {
+func newFakeStore(t *testing.T, generation uint64) *fakeStore {
 	t.Helper()
 	value, err := json.Marshal(config.Envelope{Generation: generation, Edit: "theirs"})
 	require.NoError(t, err)
@@ -63,16 +63,16 @@
 }
 
 // Faults that a write can meet.
-func answerLost(s *fakeStore, value []byte) (bool, error) {
+func loseResponse(s *fakeStore, value []byte) (bool, error) {
 	s.put(value)
-	return true, errLost
+	return true, errConnectionReset
 }
 
-func writeLost(*fakeStore, []byte) (bool, error) { return true, errLost }
+func loseWrite(*fakeStore, []byte) (bool, error) { return true, errConnectionReset }
 
-func notSent(*fakeStore, []byte) (bool, error) { return true, store.ErrNotDone }
+func failBeforeSend(*fakeStore, []byte) (bool, error) { return true, store.ErrNotApplied }
 
-func otherFirst(s *fakeStore, _ []byte) (bool, error) {
+func writeConcurrentEdit(s *fakeStore, _ []byte) (bool, error) {
 	s.put([]byte(`{"generation":6,"edit":"other"}`))
 	return false, nil
 }
@@ -84,13 +84,13 @@
 	return edit.Apply(ctx, s, e)
 }
 
-func base(g uint64) *uint64 { return &g }
+func generationPtr(g uint64) *uint64 { return &g }
 
-// TestOutcomeIsTold checks the outcome that Apply reports when the response to a write or the
+// TestApplyReportsOutcome checks the outcome that Apply reports when the response to a write or the
 // write itself is lost, when another operator's edit is written in between, and when the
 // store returned to an older state. If the outcome is wrong, "accepted" for an edit that is
 // not in the store or "failed" for one that is, the operator's next action is wrong too.
-func TestOutcomeIsTold(t *testing.T) {
+func TestApplyReportsOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		stored     uint64
@@ -102,23 +102,23 @@
 	}{
 		{name: "no stored configuration", generation: 1, written: true},
 		{name: "newest generation as base", stored: 5, generation: 6, written: true},
-		{name: "current base", stored: 5, edit: edit.Edit{Base: base(5)}, generation: 6, written: true},
-		{name: "old base", stored: 5, edit: edit.Edit{Base: base(4)}, err: edit.ErrLostRace},
-		{name: "concurrent edit", stored: 5, faults: faults(otherFirst), err: edit.ErrLostRace},
-		{name: "response lost", stored: 5, faults: faults(answerLost), generation: 6, written: true},
-		{name: "write lost", stored: 5, faults: faults(writeLost), generation: 6, written: true},
-		{name: "write lost, then concurrent edit", stored: 5, faults: faults(writeLost, otherFirst), err: edit.ErrUnknown},
-		{name: "response lost, then concurrent edit", stored: 5, faults: faults(answerLost, otherFirst), err: edit.ErrUnknown},
-		{name: "not sent", stored: 5, faults: faults(notSent), err: store.ErrNotDone},
-		{name: "response lost, then not sent", stored: 5, faults: faults(answerLost, notSent), generation: 6, written: true},
-		{name: "store at an older generation", stored: 3, edit: edit.Edit{InForce: 5}, err: edit.ErrStoreWentBack},
-		{name: "store at an older generation, base in force", stored: 3, edit: edit.Edit{InForce: 5, Base: base(5)}, generation: 6, written: true},
-		{name: "store empty, base in force", edit: edit.Edit{InForce: 5, Base: base(5)}, generation: 6, written: true},
+		{name: "current base", stored: 5, edit: edit.Edit{Base: generationPtr(5)}, generation: 6, written: true},
+		{name: "old base", stored: 5, edit: edit.Edit{Base: generationPtr(4)}, err: edit.ErrConflict},
+		{name: "concurrent edit", stored: 5, faults: faults(writeConcurrentEdit), err: edit.ErrConflict},
+		{name: "response lost", stored: 5, faults: faults(loseResponse), generation: 6, written: true},
+		{name: "write lost", stored: 5, faults: faults(loseWrite), generation: 6, written: true},
+		{name: "write lost, then concurrent edit", stored: 5, faults: faults(loseWrite, writeConcurrentEdit), err: edit.ErrOutcomeUnknown},
+		{name: "response lost, then concurrent edit", stored: 5, faults: faults(loseResponse, writeConcurrentEdit), err: edit.ErrOutcomeUnknown},
+		{name: "not sent", stored: 5, faults: faults(failBeforeSend), err: store.ErrNotApplied},
+		{name: "response lost, then not sent", stored: 5, faults: faults(loseResponse, failBeforeSend), generation: 6, written: true},
+		{name: "store at an older generation", stored: 3, edit: edit.Edit{InForce: 5}, err: edit.ErrStoreRolledBack},
+		{name: "store at an older generation, base in force", stored: 3, edit: edit.Edit{InForce: 5, Base: generationPtr(5)}, generation: 6, written: true},
+		{name: "store empty, base in force", edit: edit.Edit{InForce: 5, Base: generationPtr(5)}, generation: 6, written: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &fakeStore{}
 			if c.stored > 0 {
-				s = storeWith(t, c.stored)
+				s = newFakeStore(t, c.stored)
 			}
 			s.faults = c.faults
 			generation, err := apply(s, c.edit)
@@ -139,14 +139,14 @@
 	return f
 }
 
-// TestUnreachableStaysUnknown loses every write until the timeout: Apply must retry and then
-// report an unknown outcome instead of guessing.
-func TestUnreachableStaysUnknown(t *testing.T) {
-	s := storeWith(t, 5)
+// TestLostWritesReportUnknownOutcome loses every write until the timeout: Apply must retry and
+// then report an unknown outcome instead of guessing.
+func TestLostWritesReportUnknownOutcome(t *testing.T) {
+	s := newFakeStore(t, 5)
 	for range 100 {
-		s.faults = append(s.faults, writeLost)
+		s.faults = append(s.faults, loseWrite)
 	}
 	_, err := apply(s, edit.Edit{})
-	require.ErrorIs(t, err, edit.ErrUnknown)
+	require.ErrorIs(t, err, edit.ErrOutcomeUnknown)
 	require.Greater(t, s.swaps, 1)
 }
--- a/internal/jsonc/decode.go
+++ b/internal/jsonc/decode.go
@@ -37,30 +37,30 @@
 func (d *Document) unmarshal(value hujson.Value, target json.Unmarshaler) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok {
-		d.mismatch(value, "a single value")
+		d.addTypeError(value, "a single value")
 		return
 	}
 	if err := target.UnmarshalJSON(literal); err != nil {
-		d.misfit(value, err.Error())
+		d.addDecodeError(value, err.Error())
 	}
 }
 
 func (d *Document) decodeStruct(value hujson.Value, target reflect.Value) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
-		d.mismatch(value, "an object")
+		d.addTypeError(value, "an object")
 		return
 	}
-	fields := d.fieldsOf(target.Type())
+	fields := d.fieldIndexes(target.Type())
 	seen := make([]bool, target.NumField())
 	for _, m := range object.Members {
-		name := nameOf(m)
+		name := memberName(m)
 		index, known := fields[name]
 		switch {
 		case !known:
-			d.addAt(m.Name.StartOffset, fmt.Sprintf("unknown field %q, expected %s", name, namesOf(target.Type())))
+			d.addFinding(m.Name.StartOffset, fmt.Sprintf("unknown field %q, expected %s", name, expectedFields(target.Type())))
 		case seen[index]:
-			d.addAt(m.Name.StartOffset, fmt.Sprintf("field %q stands twice, expected once", name))
+			d.addFinding(m.Name.StartOffset, fmt.Sprintf("field %q stands twice, expected once", name))
 		default:
 			seen[index] = true
 			d.decode(m.Value, target.Field(index))
@@ -71,7 +71,7 @@
 func (d *Document) decodeSlice(value hujson.Value, target reflect.Value) {
 	array, ok := value.Value.(*hujson.Array)
 	if !ok {
-		d.mismatch(value, "a list")
+		d.addTypeError(value, "a list")
 		return
 	}
 	target.Set(reflect.MakeSlice(target.Type(), len(array.Elements), len(array.Elements)))
@@ -93,16 +93,16 @@
 	case target.CanUint():
 		expected, kind = "a whole number not below 0", '0'
 	}
-	if literal == nil || !sameKind(literal.Kind(), kind) {
-		d.mismatch(value, expected)
+	if literal == nil || !kindMatches(literal.Kind(), kind) {
+		d.addTypeError(value, expected)
 		return
 	}
 	if !setLiteral(literal, target) {
-		d.misfit(value, fmt.Sprintf("expected %s, found %s", expected, literal))
+		d.addDecodeError(value, fmt.Sprintf("expected %s, found %s", expected, literal))
 	}
 }
 
-func sameKind(found, expected hujson.Kind) bool {
+func kindMatches(found, expected hujson.Kind) bool {
 	return found == expected || found == 'f' && expected == 't'
 }
 
@@ -113,7 +113,7 @@
 	case target.Kind() == reflect.Bool:
 		target.SetBool(literal.Bool())
 	case target.Kind() == reflect.String:
-		target.SetString(textOf(literal))
+		target.SetString(stringValue(literal))
 	case target.CanFloat():
 		v, err := strconv.ParseFloat(string(literal), 64)
 		target.SetFloat(v)
@@ -132,33 +132,33 @@
 	return true
 }
 
-func (d *Document) mismatch(value hujson.Value, expected string) {
+func (d *Document) addTypeError(value hujson.Value, expected string) {
 	found := map[hujson.Kind]string{
 		'n': "null", 'f': "false", 't': "true", '"': "text", '0': "a number",
 		'{': "an object", '[': "a list",
 	}[value.Value.Kind()]
-	d.misfit(value, fmt.Sprintf("expected %s, found %s", expected, found))
+	d.addDecodeError(value, fmt.Sprintf("expected %s, found %s", expected, found))
 }
 
-func (d *Document) misfit(value hujson.Value, message string) {
-	d.misfits[value.StartOffset] = true
-	d.addAt(value.StartOffset, message)
+func (d *Document) addDecodeError(value hujson.Value, message string) {
+	d.undecodable[value.StartOffset] = true
+	d.addFinding(value.StartOffset, message)
 }
 
-// fieldsOf returns the indexes of a struct's fields by JSON name.
-func (d *Document) fieldsOf(t reflect.Type) map[string]int {
-	if fields := d.fields[t]; fields != nil {
+// fieldIndexes returns the indexes of a struct's fields by JSON name.
+func (d *Document) fieldIndexes(t reflect.Type) map[string]int {
+	if fields := d.fieldCache[t]; fields != nil {
 		return fields
 	}
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
 		fields[jsonName(t.Field(i))] = i
 	}
-	d.fields[t] = fields
+	d.fieldCache[t] = fields
 	return fields
 }
 
-func namesOf(t reflect.Type) string {
+func expectedFields(t reflect.Type) string {
 	names := make([]string, t.NumField())
 	for i := range names {
 		names[i] = jsonName(t.Field(i))
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -31,20 +31,20 @@
 	root     hujson.Value
 	findings Findings
 	omitted  int
-	// misfits holds the offsets of the values that could not be decoded.
-	misfits map[int]bool
-	// fields caches for each struct type the indexes of its fields by JSON name.
-	fields map[reflect.Type]map[string]int
+	// undecodable holds the offsets of the values that could not be decoded.
+	undecodable map[int]bool
+	// fieldCache caches for each struct type the indexes of its fields by JSON name.
+	fieldCache map[reflect.Type]map[string]int
 }
 
 // Parse parses a document. If it is not valid JSON with comments, the error is a Findings
 // with the first syntax error.
 func Parse(file string, text []byte) (*Document, error) {
-	d := &Document{file: file, text: text, misfits: make(map[int]bool), fields: make(map[reflect.Type]map[string]int)}
+	d := &Document{file: file, text: text, undecodable: make(map[int]bool), fieldCache: make(map[reflect.Type]map[string]int)}
 	// The parser recurses for each nesting level. A megabyte of opening brackets would
 	// overflow the stack, and recover cannot catch that.
-	if offset := tooDeep(text); offset >= 0 {
-		d.addAt(offset, fmt.Sprintf("nested deeper than %d levels", MaxDepth))
+	if offset := findExcessiveNesting(text); offset >= 0 {
+		d.addFinding(offset, fmt.Sprintf("nested deeper than %d levels", MaxDepth))
 		return nil, d.Err()
 	}
 	root, err := hujson.Parse(text)
@@ -57,9 +57,9 @@
 
 // syntaxFinding converts a parser error to a finding, with the position from its message.
 func syntaxFinding(file string, err error) Finding {
-	f := Finding{File: file, Line: 1, Column: 1, What: err.Error()}
+	f := Finding{File: file, Line: 1, Column: 1, Message: err.Error()}
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &f.Line, &f.Column); scanErr == nil {
-		f.What = "syntax: " + errors.Unwrap(err).Error()
+		f.Message = "syntax: " + errors.Unwrap(err).Error()
 	}
 	return f
 }
@@ -72,11 +72,11 @@
 		d.omitted++
 		return
 	}
-	value, found := d.find(path)
-	if found && d.misfits[value.StartOffset] {
+	value, found := d.lookup(path)
+	if found && d.undecodable[value.StartOffset] {
 		return
 	}
-	d.addAt(value.StartOffset, fmt.Sprintf(format, args...))
+	d.addFinding(value.StartOffset, fmt.Sprintf(format, args...))
 }
 
 // Err returns the findings in document order, or nil if there are none.
@@ -87,44 +87,44 @@
 	sorted := d.findings.sorted()
 	if d.omitted > 0 {
 		last := sorted[len(sorted)-1]
-		last.What = fmt.Sprintf("and %d more findings", d.omitted)
+		last.Message = fmt.Sprintf("and %d more findings", d.omitted)
 		return append(sorted, last)
 	}
 	return sorted
 }
 
-// Place returns the 1-based line and column of the value at a path.
-func (d *Document) Place(path string) (line, column int) {
-	value, _ := d.find(path)
-	return d.place(value.StartOffset)
+// Position returns the 1-based line and column of the value at a path.
+func (d *Document) Position(path string) (line, column int) {
+	value, _ := d.lookup(path)
+	return d.positionAt(value.StartOffset)
 }
 
 // Has reports whether the document has a value at a path.
 func (d *Document) Has(path string) bool {
-	_, found := d.find(path)
+	_, found := d.lookup(path)
 	return found
 }
 
-func (d *Document) addAt(offset int, message string) {
+func (d *Document) addFinding(offset int, message string) {
 	if len(d.findings) >= MaxFindings {
 		d.omitted++
 		return
 	}
-	line, column := d.place(offset)
-	d.findings = append(d.findings, Finding{File: d.file, Line: line, Column: column, What: message})
+	line, column := d.positionAt(offset)
+	d.findings = append(d.findings, Finding{File: d.file, Line: line, Column: column, Message: message})
 }
 
-func (d *Document) place(offset int) (line, column int) {
+func (d *Document) positionAt(offset int) (line, column int) {
 	before := d.text[:offset]
 	return 1 + bytes.Count(before, []byte("\n")), offset - bytes.LastIndexByte(before, '\n')
 }
 
-// find returns the value at a path, or the nearest ancestor that exists. It reports in found
+// lookup returns the value at a path, or the nearest ancestor that exists. It reports in found
 // whether the value itself exists.
-func (d *Document) find(path string) (value hujson.Value, found bool) {
+func (d *Document) lookup(path string) (value hujson.Value, found bool) {
 	value = d.root
 	for path != "" {
-		segment, rest := nextStep(path)
+		segment, rest := nextSegment(path)
 		child, ok := childOf(value, segment)
 		if !ok {
 			return value, false
@@ -134,8 +134,8 @@
 	return value, true
 }
 
-// nextStep splits off the first segment of a path: a field name, or an index in brackets.
-func nextStep(path string) (segment, rest string) {
+// nextSegment splits off the first segment of a path: a field name, or an index in brackets.
+func nextSegment(path string) (segment, rest string) {
 	path = strings.TrimPrefix(path, ".")
 	if strings.HasPrefix(path, "[") {
 		end := strings.IndexByte(path, ']')
@@ -152,7 +152,7 @@
 	switch v := value.Value.(type) {
 	case *hujson.Object:
 		for _, m := range v.Members {
-			if nameOf(m) == segment {
+			if memberName(m) == segment {
 				return m.Value, true
 			}
 		}
@@ -165,12 +165,12 @@
 	return hujson.Value{}, false
 }
 
-func nameOf(m hujson.ObjectMember) string {
-	return textOf(m.Name.Value.(hujson.Literal))
+func memberName(m hujson.ObjectMember) string {
+	return stringValue(m.Name.Value.(hujson.Literal))
 }
 
-// textOf returns the value of a string literal. Most literals need no unescaping.
-func textOf(literal hujson.Literal) string {
+// stringValue returns the value of a string literal. Most literals need no unescaping.
+func stringValue(literal hujson.Literal) string {
 	inner := literal[1 : len(literal)-1]
 	for _, c := range inner {
 		if c == '\\' || c >= utf8.RuneSelf {
@@ -180,9 +180,9 @@
 	return string(inner)
 }
 
-// tooDeep returns the offset of the first bracket that exceeds MaxDepth, or -1. It ignores
-// brackets in strings and comments.
-func tooDeep(text []byte) int {
+// findExcessiveNesting returns the offset of the first bracket that exceeds MaxDepth, or -1. It
+// ignores brackets in strings and comments.
+func findExcessiveNesting(text []byte) int {
 	depth := 0
 	for i := 0; i < len(text); i++ {
 		switch text[i] {
--- a/internal/jsonc/finding.go
+++ b/internal/jsonc/finding.go
@@ -11,13 +11,13 @@
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
-	// What describes the error and the expected value.
-	What string `json:"what"`
+	// Message describes the error and the expected value.
+	Message string `json:"what"`
 }
 
-// String formats the finding as file:line:column: what.
+// String formats the finding as file:line:column: message.
 func (f Finding) String() string {
-	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.What)
+	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
 }
 
 // Findings holds all findings of one document.
--- a/internal/jsonc/jsonc_test.go
+++ b/internal/jsonc/jsonc_test.go
@@ -41,9 +41,9 @@
 	}, o)
 }
 
-// TestFindingsTogether checks that all findings are reported together in document order,
+// TestReportsAllFindingsInOrder checks that all findings are reported together in document order,
 // whether the decoder or the caller added them.
-func TestFindingsTogether(t *testing.T) {
+func TestReportsAllFindingsInOrder(t *testing.T) {
 	d, err := jsonc.Parse("f", []byte(`{
   "count": 1.5,
   "size": 256,
@@ -87,14 +87,14 @@
 	}
 }
 
-func TestFindingsBounded(t *testing.T) {
+func TestFindingsAreLimited(t *testing.T) {
 	d, err := jsonc.Parse("f", []byte(`{"parts": [`+strings.Repeat("1,", 1000)+`]}`))
 	require.NoError(t, err)
 	d.Decode(&outer{})
 	var findings jsonc.Findings
 	require.ErrorAs(t, d.Err(), &findings)
 	require.Len(t, findings, jsonc.MaxFindings+1)
-	require.Equal(t, "and 900 more findings", findings[jsonc.MaxFindings].What)
+	require.Equal(t, "and 900 more findings", findings[jsonc.MaxFindings].Message)
 }
 
 func FuzzDecode(f *testing.F) {
@@ -111,7 +111,7 @@
 		}
 		d.Decode(&outer{})
 		d.Add("parts[0].name", "place")
-		line, column := d.Place("parts[0].name")
+		line, column := d.Position("parts[0].name")
 		require.Positive(t, line)
 		require.Positive(t, column)
 	})
--- a/internal/measure/faults.go
+++ b/internal/measure/faults.go
@@ -8,19 +8,19 @@
 
 // Intervals and durations of the faults; they do not depend on the size of the fleet.
 const (
-	leaveEvery  = time.Minute
-	leaveFor    = time.Minute
-	drainFor    = 20 * time.Second
-	flapEvery   = 3 * time.Minute
-	flapFor     = 4 * time.Second
-	flapTimes   = 3
-	zoneLostFor = 2 * time.Minute
+	leaveInterval = time.Minute
+	rejoinDelay   = time.Minute
+	drainDuration = 20 * time.Second
+	flapInterval  = 3 * time.Minute
+	flapDowntime  = 4 * time.Second
+	flapCount     = 3
+	zoneOutage    = 2 * time.Minute
 )
 
-func (w *world) faults() {
+func (w *world) scheduleFaults() {
 	if w.Churn {
-		w.every(w.Warmup+5*time.Second, leaveEvery, w.leaveAndJoin)
-		w.every(w.Warmup+35*time.Second, flapEvery, func() { w.flap(w.drawServer(), flapTimes) })
+		w.every(w.Warmup+5*time.Second, leaveInterval, w.leaveAndJoin)
+		w.every(w.Warmup+35*time.Second, flapInterval, func() { w.flap(w.randomLiveServer(), flapCount) })
 		w.every(w.ReplaceEvery, w.ReplaceEvery, w.replaceRouter)
 	}
 	if w.ZoneLoss {
@@ -28,8 +28,8 @@
 	}
 }
 
-// drawServer returns a random live backend server.
-func (w *world) drawServer() *server {
+// randomLiveServer returns a random live backend server.
+func (w *world) randomLiveServer() *server {
 	for {
 		if s := w.servers[w.random.IntN(len(w.servers))]; s.state == membership.Live {
 			return s
@@ -40,18 +40,18 @@
 // leaveAndJoin drains and ends a random backend server. A new process with an empty
 // cache replaces it later.
 func (w *world) leaveAndJoin() {
-	s := w.drawServer()
-	w.change(s, membership.Leaving)
-	w.after(drainFor, func() { w.crash(s) })
-	w.after(leaveFor, func() { w.join(s) })
+	s := w.randomLiveServer()
+	w.setState(s, membership.Leaving)
+	w.after(drainDuration, func() { w.crash(s) })
+	w.after(rejoinDelay, func() { w.join(s) })
 }
 
 // flap crashes and restarts a backend server the given number of times.
 func (w *world) flap(s *server, times int) {
 	w.crash(s)
-	w.after(flapFor, func() { w.join(s) })
+	w.after(flapDowntime, func() { w.join(s) })
 	if times > 1 {
-		w.after(3*flapFor, func() { w.flap(s, times-1) })
+		w.after(3*flapDowntime, func() { w.flap(s, times-1) })
 	}
 }
 
@@ -61,13 +61,13 @@
 	}
 	s.incarnation++
 	s.cache = newPrefixCache(w.CacheTokens)
-	w.change(s, membership.Live)
+	w.setState(s, membership.Live)
 }
 
-// change sets a backend server's state. The platform's list shows it listLag later.
-func (w *world) change(s *server, state membership.State) {
+// setState sets a backend server's state. The platform's list shows it listLag later.
+func (w *world) setState(s *server, state membership.State) {
 	s.state = state
-	listed := s.instance()
+	listed := s.member()
 	w.after(listLag, func() { s.listed = listed })
 }
 
@@ -76,35 +76,35 @@
 	if s.state == membership.Gone {
 		return
 	}
-	w.change(s, membership.Gone)
+	w.setState(s, membership.Gone)
 	interrupted := s.running
 	s.running = nil
 	for _, t := range interrupted {
 		t.attempt++
-		srv, retryAfter := w.policy.failed(t, true)
-		w.placed(t, srv, retryAfter)
+		srv, retryAfter := w.policy.attemptFailed(t, true)
+		w.startTurn(t, srv, retryAfter)
 	}
 }
 
 func (w *world) replaceRouter() {
-	w.policy.replaced(w.routers[w.random.IntN(len(w.routers))])
+	w.policy.processReplaced(w.routers[w.random.IntN(len(w.routers))])
 }
 
-// loseZone stops the backend servers and routers of one availability zone for zoneLostFor.
+// loseZone stops the backend servers and routers of one availability zone for zoneOutage.
 func (w *world) loseZone() {
 	const lost = 1
 	for i, s := range w.servers {
 		if i%w.Zones == lost {
 			w.crash(s)
-			w.after(zoneLostFor, func() { w.join(s) })
+			w.after(zoneOutage, func() { w.join(s) })
 		}
 	}
 	for _, r := range w.routers {
 		if r.zone == lost {
 			r.down = true
-			w.after(zoneLostFor, func() {
+			w.after(zoneOutage, func() {
 				r.down = false
-				w.policy.replaced(r)
+				w.policy.processReplaced(r)
 			})
 		}
 	}
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -16,36 +16,36 @@
 	Turns    int     `json:"turns"`
 	// Reuse is the share of all prefix tokens that were found in a cache.
 	Reuse float64 `json:"reuse"`
-	// Mean is the mean load, over time, of the backend servers that accept new work.
-	Mean float64 `json:"mean"`
-	// Worst and P99 are the maximum and the 99th percentile of the highest load divided
-	// by the mean load, sampled every 100 ms while the mean is at least skewMean.
-	Worst float64 `json:"worst"`
-	P99   float64 `json:"p99"`
-	// Over is the share of the samples above the bound. OverRequests is the largest
+	// MeanLoad is the mean load, over time, of the backend servers that accept new work.
+	MeanLoad float64 `json:"mean"`
+	// MaxSkew and P99Skew are the maximum and the 99th percentile of the highest load divided
+	// by the mean load, sampled every 100 ms while the mean is at least minSkewMean.
+	MaxSkew float64 `json:"worst"`
+	P99Skew float64 `json:"p99"`
+	// OverShare is the share of the samples above the bound. MaxExcess is the largest
 	// number of requests by which the highest load exceeded bound times mean.
-	Over         float64 `json:"over"`
-	OverRequests float64 `json:"over_requests"`
-	// OverDecisions counts the turns whose placement took a backend server above the
-	// limit computed from the exact loads; OverMost is the largest excess in requests.
-	OverDecisions int `json:"over_decisions"`
-	OverMost      int `json:"over_most"`
-	// WorstSeconds is the largest share, in any window of five seconds, of the turns
+	OverShare float64 `json:"over"`
+	MaxExcess float64 `json:"over_requests"`
+	// OverLimitPlacements counts the turns whose placement took a backend server above the
+	// limit computed from the exact loads. MaxPlacementExcess is the largest excess in requests.
+	OverLimitPlacements int `json:"over_decisions"`
+	MaxPlacementExcess  int `json:"over_most"`
+	// MaxOverLimitShare is the largest share, in any window of five seconds, of the turns
 	// placed at a backend server whose load, including the turn itself, was above the
 	// bound plus the slack.
-	WorstSeconds float64 `json:"worst_seconds"`
-	// Broken counts the turns that failed in a crash and for which the retry budget had no
+	MaxOverLimitShare float64 `json:"worst_seconds"`
+	// FailedTurns counts the turns that failed in a crash and for which the retry budget had no
 	// retry left.
-	Broken int `json:"broken"`
-	// Quiet and Rush cover the customers that never surge, outside and during the
-	// surge of the others. Surging covers the surging customers during their surge.
-	Quiet   Service `json:"quiet"`
-	Rush    Service `json:"rush"`
-	Surging Service `json:"surging"`
+	FailedTurns int `json:"broken"`
+	// OutsideSurge and DuringSurge cover the customers that never surge, outside and during
+	// the surge of the others. Surging covers the surging customers during their surge.
+	OutsideSurge GroupFigures `json:"quiet"`
+	DuringSurge  GroupFigures `json:"rush"`
+	Surging      GroupFigures `json:"surging"`
 }
 
-// Service holds the results of one group of customers.
-type Service struct {
+// GroupFigures holds the results of one group of customers.
+type GroupFigures struct {
 	Turns    int `json:"turns"`
 	Refusals int `json:"refusals"`
 	// GivenUp counts the turns that were refused at every retry.
@@ -56,15 +56,16 @@
 	WaitP95  float64 `json:"wait_p95"`
 }
 
-// skewMean is the lowest mean load at which the skew is checked against the bound.
-const skewMean = 8
+// minSkewMean is the lowest mean load at which the skew is checked against the bound.
+const minSkewMean = 8
 
-type group struct {
-	Service
+// groupCollector collects the figures of one group of customers.
+type groupCollector struct {
+	GroupFigures
 	waits []float64
 }
 
-func (g *group) service() Service {
+func (g *groupCollector) figures() GroupFigures {
 	if len(g.waits) > 0 {
 		slices.Sort(g.waits)
 		sum := 0.0
@@ -74,128 +75,128 @@
 		g.WaitMean = sum / float64(len(g.waits))
 		g.WaitP95 = quantile(g.waits, 0.95)
 	}
-	return g.Service
+	return g.GroupFigures
 }
 
-// tally collects the figures of a run.
-type tally struct {
+// collector collects the figures of a run.
+type collector struct {
 	Figures
-	prefix, found  float64
-	ratios         []float64
-	means          float64
-	samples, overs int
-	placed, above  []int
-	quiet, rush    group
-	surging        group
+	prefixTokens, cachedTokens          float64
+	skews                               []float64
+	meanSum                             float64
+	samples, overSamples                int
+	placedPerSecond, overLimitPerSecond []int
+	outsideSurge, duringSurge           groupCollector
+	surging                             groupCollector
 }
 
-func newTally() *tally { return &tally{} }
+func newCollector() *collector { return &collector{} }
 
-func (c *tally) group(w *world, t *turn) *group {
+func (c *collector) group(w *world, t *turn) *groupCollector {
 	switch {
-	case !surging[t.chat.customer] && w.inSurge():
-		return &c.rush
-	case !surging[t.chat.customer]:
-		return &c.quiet
+	case !surgingCustomers[t.chat.customer] && w.inSurge():
+		return &c.duringSurge
+	case !surgingCustomers[t.chat.customer]:
+		return &c.outsideSurge
 	case w.inSurge():
 		return &c.surging
 	default:
-		return &group{}
+		return &groupCollector{}
 	}
 }
 
-func (c *tally) started(w *world, t *turn, wait time.Duration) {
+func (c *collector) turnStarted(w *world, t *turn, wait time.Duration) {
 	c.Turns++
-	c.prefix += float64(t.prefix)
-	c.found += float64(t.cached)
+	c.prefixTokens += float64(t.prefix)
+	c.cachedTokens += float64(t.cachedTokens)
 	g := c.group(w, t)
 	g.Turns++
 	g.waits = append(g.waits, wait.Seconds())
 }
 
-func (c *tally) refused(w *world, t *turn) {
-	if t.broken {
-		c.Broken++
+func (c *collector) turnRefused(w *world, t *turn) {
+	if t.failed {
+		c.FailedTurns++
 		return
 	}
 	c.group(w, t).Refusals++
 }
 
-func (c *tally) givenUp(w *world, t *turn) { c.group(w, t).GivenUp++ }
+func (c *collector) turnGivenUp(w *world, t *turn) { c.group(w, t).GivenUp++ }
 
-// decision checks a placement against the exact loads at that moment.
-func (c *tally) decision(w *world, s *server) {
-	c.promise(w, s)
-	over := s.load() + 1 - int(w.limit())
-	if over > 0 && s.load()+1 >= skewMean {
-		c.OverDecisions++
-		c.OverMost = max(c.OverMost, over)
+// turnPlaced checks a placement against the exact loads at that moment.
+func (c *collector) turnPlaced(w *world, s *server) {
+	c.countPlacement(w, s)
+	over := s.load() + 1 - int(w.loadLimit())
+	if over > 0 && s.load()+1 >= minSkewMean {
+		c.OverLimitPlacements++
+		c.MaxPlacementExcess = max(c.MaxPlacementExcess, over)
 	}
 }
 
-// promise counts, for each second, the turns placed and those placed above the bound
+// countPlacement counts, for each second, the turns placed and those placed above the bound
 // plus the slack.
-func (c *tally) promise(w *world, s *server) {
+func (c *collector) countPlacement(w *world, s *server) {
 	second := int((w.now - w.Warmup) / time.Second)
-	for len(c.placed) <= second {
-		c.placed = append(c.placed, 0)
-		c.above = append(c.above, 0)
+	for len(c.placedPerSecond) <= second {
+		c.placedPerSecond = append(c.placedPerSecond, 0)
+		c.overLimitPerSecond = append(c.overLimitPerSecond, 0)
 	}
-	c.placed[second]++
-	total, _, n := w.live()
+	c.placedPerSecond[second]++
+	total, _, n := w.liveLoad()
 	if float64(s.load()+1) > w.Bound*float64(total+1)/float64(n)+float64(w.Slack) {
-		c.above[second]++
+		c.overLimitPerSecond[second]++
 	}
 }
 
-// promiseSpan is the number of seconds over which the share above the limit is computed.
-const promiseSpan = 5
+// shareWindowSeconds is the number of seconds over which the share above the limit is computed.
+const shareWindowSeconds = 5
 
-// worstSeconds returns the largest share of placements above the limit in any window of
-// promiseSpan seconds.
-func (c *tally) worstSeconds() float64 {
+// maxOverLimitShare returns the largest share of placements above the limit in any window of
+// shareWindowSeconds seconds.
+func (c *collector) maxOverLimitShare() float64 {
 	worst := 0.0
-	for i := range len(c.placed) - promiseSpan + 1 {
+	for i := range len(c.placedPerSecond) - shareWindowSeconds + 1 {
 		placed, above := 0, 0
-		for k := i; k < i+promiseSpan; k++ {
-			placed += c.placed[k]
-			above += c.above[k]
+		for k := i; k < i+shareWindowSeconds; k++ {
+			placed += c.placedPerSecond[k]
+			above += c.overLimitPerSecond[k]
 		}
 		worst = max(worst, float64(above)/float64(max(1, placed)))
 	}
 	return worst
 }
 
-func (c *tally) sample(w *world) {
-	total, most, n := w.live()
+func (c *collector) sample(w *world) {
+	total, most, n := w.liveLoad()
 	mean := float64(total) / float64(n)
-	c.means += mean
+	c.meanSum += mean
 	c.samples++
-	if mean < skewMean {
+	if mean < minSkewMean {
 		return
 	}
 	ratio := float64(most) / mean
-	c.ratios = append(c.ratios, ratio)
+	c.skews = append(c.skews, ratio)
 	if ratio > w.Bound {
-		c.overs++
-		c.OverRequests = max(c.OverRequests, float64(most)-w.Bound*mean)
+		c.overSamples++
+		c.MaxExcess = max(c.MaxExcess, float64(most)-w.Bound*mean)
 	}
 }
 
-func (c *tally) figures(s *Scenario, policyName string) Figures {
+func (c *collector) figures(s *Scenario, policyName string) Figures {
 	r := c.Figures
 	r.Scenario, r.Policy, r.Seed = s.Name, policyName, s.Seed
 	r.Servers, r.Routers, r.Bound = s.Servers, s.Routers, s.Bound
-	r.Reuse = c.found / max(1, c.prefix)
-	r.WorstSeconds = c.worstSeconds()
-	r.Mean = c.means / float64(max(1, c.samples))
-	if len(c.ratios) > 0 {
-		slices.Sort(c.ratios)
-		r.Worst = c.ratios[len(c.ratios)-1]
-		r.P99 = quantile(c.ratios, 0.99)
-		r.Over = float64(c.overs) / float64(len(c.ratios))
+	r.Reuse = c.cachedTokens / max(1, c.prefixTokens)
+	r.MaxOverLimitShare = c.maxOverLimitShare()
+	r.MeanLoad = c.meanSum / float64(max(1, c.samples))
+	if len(c.skews) > 0 {
+		slices.Sort(c.skews)
+		r.MaxSkew = c.skews[len(c.skews)-1]
+		r.P99Skew = quantile(c.skews, 0.99)
+		r.OverShare = float64(c.overSamples) / float64(len(c.skews))
 	}
-	r.Quiet, r.Rush, r.Surging = c.quiet.service(), c.rush.service(), c.surging.service()
+	r.OutsideSurge, r.DuringSurge, r.Surging = c.outsideSurge.figures(), c.duringSurge.figures(), c.surging.figures()
 	return r
 }
 
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -37,19 +37,19 @@
 
 // fleet is the policy under test: one real core node for each router.
 type fleet struct {
-	w         *world
-	hints     bool
-	config    config.Envelope
-	current   []*process
-	processes []*process
-	byName    map[string]*process
-	servers   map[string]*server
-	placing   map[*turn]*placing
-	started   uint64
+	w             *world
+	hints         bool
+	config        config.Envelope
+	current       []*process
+	processes     []*process
+	processByName map[string]*process
+	serverByName  map[string]*server
+	placements    map[*turn]*placement
+	startCount    uint64
 }
 
-// placing is the state of a turn in progress at a node.
-type placing struct {
+// placement is the state of a turn in progress at a node.
+type placement struct {
 	process *process
 	attempt int
 	hint    string
@@ -57,16 +57,16 @@
 
 func newFleet(w *world, hints bool) *fleet {
 	f := &fleet{
-		w:       w,
-		hints:   hints,
-		config:  configuration(&w.Scenario),
-		byName:  make(map[string]*process),
-		servers: make(map[string]*server),
-		placing: make(map[*turn]*placing),
-		current: make([]*process, len(w.routers)),
+		w:             w,
+		hints:         hints,
+		config:        configuration(&w.Scenario),
+		processByName: make(map[string]*process),
+		serverByName:  make(map[string]*server),
+		placements:    make(map[*turn]*placement),
+		current:       make([]*process, len(w.routers)),
 	}
 	for _, s := range w.servers {
-		f.servers[s.name] = s
+		f.serverByName[s.name] = s
 	}
 	for _, r := range w.routers {
 		f.start(r)
@@ -95,19 +95,19 @@
 
 // start starts a new process for the router.
 func (f *fleet) start(r *router) {
-	f.started++
+	f.startCount++
 	p := &process{
-		name:        fmt.Sprintf("%s-%d", r.name, f.started),
+		name:        fmt.Sprintf("%s-%d", r.name, f.startCount),
 		zone:        fmt.Sprint("zone-", r.zone),
-		incarnation: f.started,
+		incarnation: f.startCount,
 		peers:       make(map[string]bool),
 	}
 	p.node = core.New(core.Settings{
-		Name: p.name, Zone: p.zone, PeerAddress: p.name, Incarnation: p.incarnation, Seed: f.w.Seed + f.started,
-		NoPolls: len(f.w.Kinds) > 0,
+		Name: p.name, Zone: p.zone, PeerAddress: p.name, Incarnation: p.incarnation, Seed: f.w.Seed + f.startCount,
+		NoPolls: len(f.w.SessionKinds) > 0,
 	})
 	f.current[r.index] = p
-	f.byName[p.name] = p
+	f.processByName[p.name] = p
 	f.processes = append(f.processes, p)
 	f.handle(p, core.ConfigOffered{Envelope: f.config})
 	f.handle(p, core.Ticked{})
@@ -123,18 +123,18 @@
 		case core.Finish:
 			refused = &e
 		default:
-			f.carryOut(p, effect)
+			f.applyEffect(p, effect)
 		}
 	}
 	return attempt, refused
 }
 
-func (f *fleet) carryOut(p *process, effect core.Effect) {
+func (f *fleet) applyEffect(p *process, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.ConfigRefused:
 		panic(e.Findings.Error())
 	case core.ListInstances:
-		f.w.after(platformDelay, func() { f.handle(p, core.InstancesListed{Op: e.Op, Members: f.list()}) })
+		f.w.after(platformDelay, func() { f.handle(p, core.InstancesListed{Op: e.Op, Members: f.listMembers()}) })
 	case core.PollReport:
 		f.w.after(pollDelay, func() { f.poll(p, e.Backend) })
 	case core.SetPeers:
@@ -145,22 +145,22 @@
 }
 
 func (f *fleet) deliver(from, to string, m core.PeerMessage) {
-	if p := f.byName[to]; p != nil {
+	if p := f.processByName[to]; p != nil {
 		f.handle(p, core.PeerReceived{From: from, Message: m})
 	}
 }
 
 func (f *fleet) connect(p *process, peers []core.PeerAddress) {
 	for _, peer := range peers {
-		if other := f.byName[peer.Name]; other != nil && !p.peers[peer.Name] {
+		if other := f.processByName[peer.Name]; other != nil && !p.peers[peer.Name] {
 			p.peers[peer.Name] = true
 			f.handle(p, core.PeerConnected{Peer: peer.Name, Incarnation: other.incarnation})
 		}
 	}
 }
 
-// list returns the platform's list, which lags behind the backend servers' states.
-func (f *fleet) list() []membership.Member {
+// listMembers returns the platform's list, which lags behind the backend servers' states.
+func (f *fleet) listMembers() []membership.Member {
 	list := make([]membership.Member, 0, len(f.w.servers)+len(f.processes))
 	for _, s := range f.w.servers {
 		list = append(list, s.listed)
@@ -185,7 +185,7 @@
 }
 
 func (f *fleet) poll(p *process, backend string) {
-	s := f.servers[backend]
+	s := f.serverByName[backend]
 	f.handle(p, core.BackendReported{Report: f.report(s), Failed: s.state == membership.Gone})
 }
 
@@ -203,7 +203,7 @@
 	if t.chat.kind != nil {
 		e.Prompt = t.prompt()
 	}
-	f.placing[t] = &placing{process: p}
+	f.placements[t] = &placement{process: p}
 	attempt, refused := f.handle(p, e)
 	if attempt == nil && refused == nil {
 		// The process has just started and holds the turn. The simulation does not model
@@ -211,27 +211,27 @@
 		_, refused = f.handle(p, core.CallerGone{Request: e.Request})
 		refused.RetryAfter = platformDelay
 	}
-	return f.follow(t, attempt, refused)
+	return f.applyDecision(t, attempt, refused)
 }
 
-// follow converts the core's decision to the results of the policy interface.
-func (f *fleet) follow(t *turn, attempt *core.SendAttempt, refused *core.Finish) (*server, time.Duration) {
-	pl := f.placing[t]
+// applyDecision converts the core's decision to the results of the policy interface.
+func (f *fleet) applyDecision(t *turn, attempt *core.SendAttempt, refused *core.Finish) (*server, time.Duration) {
+	pl := f.placements[t]
 	if attempt == nil {
-		delete(f.placing, t)
-		t.broken = refused.Outcome != reason.NotRun
+		delete(f.placements, t)
+		t.failed = refused.Outcome != reason.NotRun
 		return nil, refused.RetryAfter
 	}
-	s := f.servers[attempt.Backend]
+	s := f.serverByName[attempt.Backend]
 	t.server = s
 	pl.attempt, pl.hint = attempt.Attempt, attempt.Placement
 	pl.process.inFlight++
 	return s, 0
 }
 
-// leave reports the end of the turn's current attempt to its node.
-func (f *fleet) leave(t *turn, outcome retry.Outcome) (*core.SendAttempt, *core.Finish) {
-	pl := f.placing[t]
+// endAttempt reports the end of the turn's current attempt to its node.
+func (f *fleet) endAttempt(t *turn, outcome retry.Outcome) (*core.SendAttempt, *core.Finish) {
+	pl := f.placements[t]
 	pl.process.inFlight--
 	e := core.AttemptEnded{Request: core.RequestID(t.id()), Attempt: pl.attempt, Outcome: outcome}
 	if outcome == retry.Answered {
@@ -241,23 +241,23 @@
 	return f.handle(pl.process, e)
 }
 
-func (f *fleet) failed(t *turn, sent bool) (*server, time.Duration) {
+func (f *fleet) attemptFailed(t *turn, sent bool) (*server, time.Duration) {
 	outcome := retry.NotSent
 	if sent {
 		outcome = retry.Unknown
 	}
-	attempt, refused := f.leave(t, outcome)
-	return f.follow(t, attempt, refused)
+	attempt, refused := f.endAttempt(t, outcome)
+	return f.applyDecision(t, attempt, refused)
 }
 
-func (f *fleet) ended(t *turn) {
-	f.leave(t, retry.Answered)
-	t.chat.hint = f.placing[t].hint
-	delete(f.placing, t)
+func (f *fleet) turnEnded(t *turn) {
+	f.endAttempt(t, retry.Answered)
+	t.chat.hint = f.placements[t].hint
+	delete(f.placements, t)
 }
 
-func (f *fleet) answers(t *turn) {
-	pl := f.placing[t]
+func (f *fleet) responseStarted(t *turn) {
+	pl := f.placements[t]
 	if pl == nil {
 		return
 	}
@@ -265,8 +265,8 @@
 	f.handle(pl.process, core.AnswerStarted{Request: core.RequestID(t.id()), Attempt: pl.attempt, Load: &report})
 }
 
-// replaced starts a new process for the router; the old one finishes its turns.
-func (f *fleet) replaced(r *router) {
+// processReplaced starts a new process for the router; the old one finishes its turns.
+func (f *fleet) processReplaced(r *router) {
 	f.current[r.index].retired = true
 	f.start(r)
 }
@@ -275,7 +275,7 @@
 	kept := f.processes[:0]
 	for _, p := range f.processes {
 		if p.retired && p.inFlight == 0 {
-			delete(f.byName, p.name)
+			delete(f.processByName, p.name)
 			continue
 		}
 		f.handle(p, core.Ticked{})
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -9,8 +9,8 @@
 	"github.com/ebonydyke/ebonydyke/internal/measure"
 )
 
-// scenario returns a shortened version of the named scenario.
-func scenario(t *testing.T, name string, seed uint64) measure.Scenario {
+// shortScenario returns a shortened version of the named scenario.
+func shortScenario(t *testing.T, name string, seed uint64) measure.Scenario {
 	t.Helper()
 	for _, s := range measure.Scenarios(seed) {
 		if s.Name == name {
@@ -24,9 +24,9 @@
 
 // Guards against figures that vary between runs, for example with the iteration order of
 // maps. With the same seed, only a change in decisions may change the figures.
-func TestSameSeedSameFigures(t *testing.T) {
+func TestFiguresAreDeterministic(t *testing.T) {
 	t.Parallel()
-	s := scenario(t, "skew", 3)
+	s := shortScenario(t, "skew", 3)
 	s.Duration = 2 * time.Minute
 	first := measure.Run(s, "ours-hint")
 	require.Equal(t, first, measure.Run(s, "ours-hint"))
@@ -39,13 +39,13 @@
 func TestBoundHoldsInSteadyTraffic(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
-		s := scenario(t, "skew-steady", seed)
-		require.Greater(t, measure.Run(s, "rendezvous").P99, 1.5, "without the bound, the overload occurs")
+		s := shortScenario(t, "skew-steady", seed)
+		require.Greater(t, measure.Run(s, "rendezvous").P99Skew, 1.5, "without the bound, the overload occurs")
 		for _, policy := range []string{"ours", "ours-hint"} {
 			f := measure.Run(s, policy)
-			require.LessOrEqual(t, f.P99, s.Bound, "%s seed %d", policy, seed)
-			require.Less(t, f.Worst, 1.4, "%s seed %d", policy, seed)
-			require.LessOrEqual(t, f.OverMost, 2, "placed above the limit from exact loads, %s seed %d", policy, seed)
+			require.LessOrEqual(t, f.P99Skew, s.Bound, "%s seed %d", policy, seed)
+			require.Less(t, f.MaxSkew, 1.4, "%s seed %d", policy, seed)
+			require.LessOrEqual(t, f.MaxPlacementExcess, 2, "placed above the limit from exact loads, %s seed %d", policy, seed)
 		}
 	}
 }
@@ -54,17 +54,17 @@
 // leaves every minute, another flaps and routers are replaced. The routers' views of the
 // membership differ for seconds. The skew is highest when an empty engine joins and the
 // mean drops; the time above the bound stays short.
-func TestBoundUnderSurgeChurnAndDisagreement(t *testing.T) {
+func TestBoundUnderSurgeAndChurn(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
-		s := scenario(t, "skew", seed)
+		s := shortScenario(t, "skew", seed)
 		unbounded := measure.Run(s, "rendezvous")
-		require.Greater(t, unbounded.Over, 0.4)
+		require.Greater(t, unbounded.OverShare, 0.4)
 		for _, policy := range []string{"ours", "ours-hint"} {
 			f := measure.Run(s, policy)
-			require.Less(t, f.Worst, 1.6, "%s seed %d", policy, seed)
-			require.LessOrEqual(t, f.P99, 1.4, "%s seed %d", policy, seed)
-			require.Less(t, f.Over, 0.1, "%s seed %d", policy, seed)
+			require.Less(t, f.MaxSkew, 1.6, "%s seed %d", policy, seed)
+			require.LessOrEqual(t, f.P99Skew, 1.4, "%s seed %d", policy, seed)
+			require.Less(t, f.OverShare, 0.1, "%s seed %d", policy, seed)
 		}
 	}
 }
@@ -72,28 +72,28 @@
 // Guards against refusals and long waits for customers that do not surge. Two of ten
 // customers surge tenfold and the pool is full: the surging customers are refused, and the
 // other eight are served as before the surge.
-func TestTheOthersAreServedThroughASurge(t *testing.T) {
+func TestOtherCustomersAreServedDuringSurge(t *testing.T) {
 	t.Parallel()
-	s := scenario(t, "rush", 1)
+	s := shortScenario(t, "rush", 1)
 	s.Warmup, s.Duration = 5*time.Minute, 23*time.Minute
 	f := measure.Run(s, "ours-hint")
 	require.Greater(t, f.Surging.Refusals, f.Surging.Turns/5)
-	require.Less(t, f.Rush.Refusals, f.Rush.Turns/100)
-	require.Zero(t, f.Rush.GivenUp)
-	require.Less(t, f.Rush.WaitP95, 1.5*f.Quiet.WaitP95)
+	require.Less(t, f.DuringSurge.Refusals, f.DuringSurge.Turns/100)
+	require.Zero(t, f.DuringSurge.GivenUp)
+	require.Less(t, f.DuringSurge.WaitP95, 1.5*f.OutsideSurge.WaitP95)
 }
 
 // Guards against overload after a cold start. Traffic starts at 91 instances in three
 // availability zones, which receive only their own zone's loads, for 90 engines with cold
 // caches. Sessions concentrate on engines that seem idle: without a bound, a seventh of the
 // requests in the worst five seconds are placed above the limit. 3% are allowed.
-func TestPromiseFromAColdStart(t *testing.T) {
+func TestPlacementsOverLimitAfterColdStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
 		s := coldSessions(t, seed)
-		require.Greater(t, measure.Run(s, "rendezvous").WorstSeconds, 0.1, "without the bound, the overload occurs")
+		require.Greater(t, measure.Run(s, "rendezvous").MaxOverLimitShare, 0.1, "without the bound, the overload occurs")
 		f := measure.Run(s, "ours")
-		require.Less(t, f.WorstSeconds, 0.02, "seed %d", seed)
+		require.Less(t, f.MaxOverLimitShare, 0.02, "seed %d", seed)
 		// Reuse was 0.842 and 0.845 before load reports were used when the zones' loads are not
 		// exchanged.
 		require.Greater(t, f.Reuse, 0.85, "seed %d", seed)
@@ -114,9 +114,9 @@
 // Guards against low cache reuse while engines join and leave. With hints, the turns of a
 // chat find nearly as much of their prefix in a cache as with the oracle, which uses exact
 // caches and loads.
-func TestReuseNearTheOracles(t *testing.T) {
+func TestReuseIsNearOracle(t *testing.T) {
 	t.Parallel()
-	s := scenario(t, "skew", 1)
+	s := shortScenario(t, "skew", 1)
 	oracle, ours := measure.Run(s, "oracle"), measure.Run(s, "ours-hint")
 	require.Greater(t, ours.Reuse, 0.85*oracle.Reuse)
 	require.Greater(t, ours.Reuse, 5*measure.Run(s, "two-choices").Reuse)
--- a/internal/measure/sessions.go
+++ b/internal/measure/sessions.go
@@ -27,36 +27,36 @@
 // The sigma of the log-normal sizes. The users' sheet gives the kinds below values of 0.4
 // to 0.7 (shared), 1.0 to 1.4 (fresh) and 0.44 to 1.4 (output).
 const (
-	sharedSpread = 0.6
-	freshSpread  = 1.0
-	outputSpread = 0.5
+	sharedSigma = 0.6
+	freshSigma  = 1.0
+	outputSigma = 0.5
 )
 
-// lognormalOf draws a log-normal value with a mean of 1.
-func lognormalOf(random *rand.Rand, sigma float64) float64 {
-	return lognormal(random, sigma) * math.Exp(-sigma*sigma/2)
+// lognormalMeanOne draws a log-normal value with a mean of 1.
+func lognormalMeanOne(random *rand.Rand, sigma float64) float64 {
+	return lognormalMedianOne(random, sigma) * math.Exp(-sigma*sigma/2)
 }
 
-// sessions creates the sessions of a kind.
-func (w *world) sessions(k *SessionKind, kind int) []*chat {
+// newSessions creates the sessions of a kind.
+func (w *world) newSessions(k *SessionKind, kind int) []*chat {
 	list := make([]*chat, k.Sessions)
 	for i := range list {
-		w.chats++
-		random := rand.New(rand.NewPCG(w.Seed, uint64(w.chats)))
+		w.chatCount++
+		random := rand.New(rand.NewPCG(w.Seed, uint64(w.chatCount)))
 		list[i] = &chat{
-			id: fmt.Sprintf("%s-%d-%d", k.Name, kind, i), number: w.chats, random: random, kind: k,
+			id: fmt.Sprintf("%s-%d-%d", k.Name, kind, i), number: w.chatCount, random: random, kind: k,
 			customer: i % len(customerShares),
-			tokens:   int(k.Shared * lognormalOf(random, sharedSpread)),
+			tokens:   int(k.Shared * lognormalMeanOne(random, sharedSigma)),
 		}
 	}
 	return list
 }
 
-// sessionArrivals schedules the requests of every kind; the first come after Lead.
-func (w *world) sessionArrivals() {
-	for i := range w.Kinds {
-		k := &w.Kinds[i]
-		list := w.sessions(k, i)
+// startSessions schedules the requests of every kind; the first come after StartupTime.
+func (w *world) startSessions() {
+	for i := range w.SessionKinds {
+		k := &w.SessionKinds[i]
+		list := w.newSessions(k, i)
 		shares := make([]float64, len(list))
 		sum := 0.0
 		for n := range shares {
@@ -64,30 +64,30 @@
 			shares[n] = sum
 		}
 		random := rand.New(rand.NewPCG(w.Seed, uint64(i)+1<<32))
-		w.after(w.Lead, func() { w.nextRequest(k, list, shares, random) })
+		w.after(w.StartupTime, func() { w.scheduleRequest(k, list, shares, random) })
 	}
 }
 
-// nextRequest schedules the next request of a kind, which schedules its successor.
-func (w *world) nextRequest(k *SessionKind, list []*chat, shares []float64, random *rand.Rand) {
+// scheduleRequest schedules the next request of a kind, which schedules its successor.
+func (w *world) scheduleRequest(k *SessionKind, list []*chat, shares []float64, random *rand.Rand) {
 	w.after(seconds(random.ExpFloat64()/k.Rate), func() {
 		x := random.Float64() * shares[len(shares)-1]
 		n := 0
 		for shares[n] < x {
 			n++
 		}
-		w.turnArrives(list[n].request())
-		w.nextRequest(k, list, shares, random)
+		w.turnArrives(list[n].nextRequest())
+		w.scheduleRequest(k, list, shares, random)
 	})
 }
 
-// request draws the session's next request.
-func (c *chat) request() *turn {
+// nextRequest draws the session's next request.
+func (c *chat) nextRequest() *turn {
 	c.turns++
 	return &turn{
 		chat: c, number: c.turns, prefix: c.tokens,
-		fresh:  1 + int(c.kind.Fresh*lognormalOf(c.random, freshSpread)),
-		output: 1 + int(c.kind.Output*lognormalOf(c.random, outputSpread)),
+		fresh:  1 + int(c.kind.Fresh*lognormalMeanOne(c.random, freshSigma)),
+		output: 1 + int(c.kind.Output*lognormalMeanOne(c.random, outputSigma)),
 	}
 }
 
@@ -102,23 +102,23 @@
 	}
 }
 
-// sessionLead is how long instances run before their first request: operators start them
-// before the balancer sends traffic.
-const sessionLead = 14 * time.Second
+// sessionStartupTime is how long instances run before their first request: operators start
+// them before the balancer sends traffic.
+const sessionStartupTime = 14 * time.Second
 
-// lenderSessions returns the scenario of a large fleet in three availability zones whose
+// coldLenderScenario returns the scenario of a large fleet in three availability zones whose
 // requests are dossier reviews, questions about dossiers and short screenings. Instances,
 // engines, rates, sessions, tokens and the engines' memory are those of the users' sheet.
 // An engine prefills 61,800 tokens a second and decodes one token per step of 3.09 ms. A
 // step takes twice as long with 190 requests. The load report is 200 ms old.
-func lenderSessions(seed uint64) Scenario {
+func coldLenderScenario(seed uint64) Scenario {
 	return Scenario{
-		Name: "sessions-cold", Seed: seed, Servers: 90, Routers: 91, Zones: 3, Mean: 6, Capacity: 64,
+		Name: "sessions-cold", Seed: seed, Servers: 90, Routers: 91, Zones: 3, TargetLoad: 6, Capacity: 64,
 		Bound: 2, Slack: 3, CacheTokens: 268_979,
-		Lead: sessionLead, Warmup: sessionLead + time.Second, Duration: sessionLead + 30*time.Second,
-		Engine:   EngineSpeed{Prefill: 61_800, Decode: 320, HalfAt: 190, ReportLag: 200 * time.Millisecond, ReadingSlows: 4},
+		StartupTime: sessionStartupTime, Warmup: sessionStartupTime + time.Second, Duration: sessionStartupTime + 30*time.Second,
+		Engine:   EngineSpeed{Prefill: 61_800, Decode: 320, HalfSpeedAt: 190, ReportLag: 200 * time.Millisecond, PrefillSlowdown: 4},
 		Policies: []string{"rendezvous", "bound-exact", "ours"},
-		Kinds: []SessionKind{
+		SessionKinds: []SessionKind{
 			{Name: "dossier", Rate: 172, Sessions: 200, Skew: 0.3, Shared: 10_512, Fresh: 1_300, Output: 380},
 			{Name: "question", Rate: 219, Sessions: 571, Skew: 0.3, Shared: 699, Fresh: 130, Output: 290},
 			{Name: "screening", Rate: 265, Sessions: 694, Skew: 0.3, Shared: 2_041, Fresh: 360, Output: 23},
@@ -126,18 +126,18 @@
 	}
 }
 
-// feedstockSessions returns the scenario of a large fleet in four availability zones whose
+// coldFeedstockScenario returns the scenario of a large fleet in four availability zones whose
 // requests are digester histories, mix checks and notes to families. The figures are those
 // of the users' sheet. An engine prefills 38,400 tokens a second and decodes one token per
 // step of 5.23 ms, almost independent of its load. The load report is 100 ms old.
-func feedstockSessions(seed uint64) Scenario {
+func coldFeedstockScenario(seed uint64) Scenario {
 	return Scenario{
-		Name: "feedstock-cold", Seed: seed, Servers: 60, Routers: 80, Zones: 4, Mean: 5, Capacity: 64,
+		Name: "feedstock-cold", Seed: seed, Servers: 60, Routers: 80, Zones: 4, TargetLoad: 5, Capacity: 64,
 		Bound: 2, Slack: 3, CacheTokens: 186_994,
-		Lead: sessionLead, Warmup: sessionLead, Duration: sessionLead + 10*time.Second,
-		Engine:   EngineSpeed{Prefill: 38_400, Decode: 191, HalfAt: 1_425, ReportLag: 100 * time.Millisecond},
+		StartupTime: sessionStartupTime, Warmup: sessionStartupTime, Duration: sessionStartupTime + 10*time.Second,
+		Engine:   EngineSpeed{Prefill: 38_400, Decode: 191, HalfSpeedAt: 1_425, ReportLag: 100 * time.Millisecond},
 		Policies: []string{"rendezvous", "bound-exact", "ours"},
-		Kinds: []SessionKind{
+		SessionKinds: []SessionKind{
 			{Name: "history", Rate: 143, Sessions: 373, Skew: 0.3, Shared: 8_620, Fresh: 580, Output: 50},
 			{Name: "check", Rate: 174, Sessions: 303, Skew: 0.3, Shared: 2_041, Fresh: 360, Output: 23},
 			{Name: "note", Rate: 161, Sessions: 280, Skew: 0.3, Shared: 603, Fresh: 110, Output: 280},
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -23,10 +23,10 @@
 	Servers int
 	Routers int
 	Zones   int
-	// Mean is the approximate number of requests in progress at a backend server.
-	Mean     float64
-	Capacity int
-	Bound    float64
+	// TargetLoad is the approximate number of requests in progress at a backend server.
+	TargetLoad float64
+	Capacity   int
+	Bound      float64
 	// CacheTokens is the size of one engine's prefix cache.
 	CacheTokens int
 	Warmup      time.Duration
@@ -41,12 +41,13 @@
 	Policies []string
 	// ZoneLoss stops an availability zone for two minutes in the middle.
 	ZoneLoss bool
-	// Kinds lists the kinds of session requests. If set, they replace the chats.
-	Kinds []SessionKind
+	// SessionKinds lists the kinds of session requests. If set, they replace the chats.
+	SessionKinds []SessionKind
 	// Slack is the number of requests allowed beyond the bound.
 	Slack int
-	// Lead is how long the routers run before the first request; it needs Kinds.
-	Lead time.Duration
+	// StartupTime is how long the routers run before the first request; it needs
+	// SessionKinds.
+	StartupTime time.Duration
 	// Engine is the speed of the engines; zero means the default of the chat scenarios.
 	Engine EngineSpeed
 }
@@ -69,16 +70,16 @@
 // world is the state of one run.
 type world struct {
 	Scenario
-	now      time.Duration
-	queue    eventQueue
-	sequence int
-	random   *rand.Rand
-	servers  []*server
-	routers  []*router
-	policy   policy
-	figures  *tally
-	chats    int
-	chatRate float64
+	now       time.Duration
+	queue     eventQueue
+	sequence  int
+	random    *rand.Rand
+	servers   []*server
+	routers   []*router
+	policy    policy
+	collector *collector
+	chatCount int
+	chatRate  float64
 }
 
 // policy chooses backend servers for turns. The turn's router is in t.router.
@@ -86,21 +87,22 @@
 	// place returns the backend server for the turn, or nil and the time after which the
 	// caller may retry if the turn is refused.
 	place(t *turn) (*server, time.Duration)
-	// failed ends an attempt without a response and returns the server of the next attempt,
-	// with the same results as place. sent is false if the request was not sent.
-	failed(t *turn, sent bool) (*server, time.Duration)
-	// ended ends a turn that was completed.
-	ended(t *turn)
-	// answers reports the first byte of the response. It is called only for session requests.
-	answers(t *turn)
-	// replaced reports that a new process has replaced the router's process.
-	replaced(r *router)
-	// tick is called every historyStep.
+	// attemptFailed ends an attempt without a response and returns the server of the next
+	// attempt, with the same results as place. sent is false if the request was not sent.
+	attemptFailed(t *turn, sent bool) (*server, time.Duration)
+	// turnEnded ends a turn that was completed.
+	turnEnded(t *turn)
+	// responseStarted reports the first byte of the response. It is called only for session
+	// requests.
+	responseStarted(t *turn)
+	// processReplaced reports that a new process has replaced the router's process.
+	processReplaced(r *router)
+	// tick is called every sampleInterval.
 	tick()
 }
 
 func newWorld(s Scenario) *world {
-	w := &world{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), figures: newTally()}
+	w := &world{Scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0)), collector: newCollector()}
 	for i := range s.Servers {
 		name := fmt.Sprintf("engine-%03d", i)
 		w.servers = append(w.servers, &server{
@@ -110,10 +112,10 @@
 			incarnation: 1,
 			state:       membership.Live,
 			speed:       s.engineSpeed(),
-			history:     make([]int, s.reportLag()/historyStep),
+			history:     make([]int, s.reportLag()/sampleInterval),
 			cache:       newPrefixCache(s.CacheTokens),
 		})
-		w.servers[i].listed = w.servers[i].instance()
+		w.servers[i].listed = w.servers[i].member()
 	}
 	for i := range s.Routers {
 		w.routers = append(w.routers, &router{index: i, name: fmt.Sprintf("entry-%03d", i), zone: i % s.Zones})
@@ -125,13 +127,13 @@
 func Run(s Scenario, policyName string) Figures {
 	w := newWorld(s)
 	w.policy = newPolicy(policyName, w)
-	if len(s.Kinds) > 0 {
-		w.sessionArrivals()
+	if len(s.SessionKinds) > 0 {
+		w.startSessions()
 	} else {
-		w.arrivals()
+		w.startChats()
 	}
-	w.every(historyStep, historyStep, w.sample)
-	w.faults()
+	w.every(sampleInterval, sampleInterval, w.sample)
+	w.scheduleFaults()
 	for len(w.queue) > 0 {
 		e := heap.Pop(&w.queue).(event)
 		if e.at >= s.Duration {
@@ -140,21 +142,21 @@
 		w.now = e.at
 		e.run()
 	}
-	return w.figures.figures(&s, policyName)
+	return w.collector.figures(&s, policyName)
 }
 
 func (w *world) turnArrives(t *turn) {
 	if t.refusals == 0 {
 		t.arrived = w.now
 	}
-	t.router = w.balance(t)
+	t.router = w.chooseRouter(t)
 	srv, retryAfter := w.policy.place(t)
-	w.placed(t, srv, retryAfter)
+	w.startTurn(t, srv, retryAfter)
 }
 
-// balance chooses the router for a turn as the platform's balancer does, without regard
+// chooseRouter chooses the router for a turn as the platform's balancer does, without regard
 // to chats, customers and availability zones.
-func (w *world) balance(t *turn) *router {
+func (w *world) chooseRouter(t *turn) *router {
 	for i := uint64(0); ; i++ {
 		x := uint64(t.chat.number)*1_000_003 + uint64(t.number)*7919 + uint64(t.refusals)*104729 + i
 		r := w.routers[rand.NewPCG(w.Seed, x).Uint64()%uint64(len(w.routers))]
@@ -164,31 +166,31 @@
 	}
 }
 
-// maxRefusals is how many times a caller retries a refused turn.
-const maxRefusals = 3
+// maxRetries is how many times a caller retries a refused turn.
+const maxRetries = 3
 
-// placed starts the turn at the chosen backend server. Attempts at a server that is gone
+// startTurn starts the turn at the chosen backend server. Attempts at a server that is gone
 // fail at once; a turn without a server is refused.
-func (w *world) placed(t *turn, srv *server, retryAfter time.Duration) {
+func (w *world) startTurn(t *turn, srv *server, retryAfter time.Duration) {
 	for srv != nil && srv.state == membership.Gone {
 		t.server = srv
-		srv, retryAfter = w.policy.failed(t, false)
+		srv, retryAfter = w.policy.attemptFailed(t, false)
 	}
 	if srv == nil {
-		w.refused(t, retryAfter)
+		w.refuseTurn(t, retryAfter)
 		return
 	}
 	if w.measuring() {
-		w.figures.decision(w, srv)
+		w.collector.turnPlaced(w, srv)
 	}
 	t.server = srv
 	first, end := srv.start(t, w.now)
 	if w.measuring() {
-		w.figures.started(w, t, w.now+first-t.arrived)
+		w.collector.turnStarted(w, t, w.now+first-t.arrived)
 	}
 	attempt := t.attempt
 	if t.chat.kind != nil {
-		w.after(first, func() { w.policy.answers(t) })
+		w.after(first, func() { w.policy.responseStarted(t) })
 	}
 	w.after(end, func() {
 		if t.attempt == attempt {
@@ -197,27 +199,27 @@
 	})
 }
 
-func (w *world) refused(t *turn, retryAfter time.Duration) {
+func (w *world) refuseTurn(t *turn, retryAfter time.Duration) {
 	if w.measuring() {
-		w.figures.refused(w, t)
+		w.collector.turnRefused(w, t)
 	}
-	t.broken = false
+	t.failed = false
 	t.refusals++
 	t.attempt++
-	if t.refusals <= maxRefusals {
+	if t.refusals <= maxRetries {
 		w.after(retryAfter, func() { w.turnArrives(t) })
 		return
 	}
 	if w.measuring() {
-		w.figures.givenUp(w, t)
+		w.collector.turnGivenUp(w, t)
 	}
 }
 
 func (w *world) turnEnds(t *turn) {
 	t.attempt++
 	t.server.stop(t)
-	t.server.cache.put(t.chat, t.leaves())
-	w.policy.ended(t)
+	t.server.cache.put(t.chat, t.cachedAfter())
+	w.policy.turnEnded(t)
 	if t.number+1 < t.chat.turns {
 		w.after(t.chat.pause(), func() { w.turnArrives(t.chat.nextTurn(t.number + 1)) })
 	}
@@ -227,17 +229,17 @@
 
 func (w *world) sample() {
 	for _, s := range w.servers {
-		s.record()
+		s.sampleLoad()
 	}
 	if w.measuring() {
-		w.figures.sample(w)
+		w.collector.sample(w)
 	}
 	w.policy.tick()
 }
 
-// live returns the number of requests in progress at the backend servers that accept new
+// liveLoad returns the number of requests in progress at the backend servers that accept new
 // work, the highest number at one of them, and the number of these servers.
-func (w *world) live() (total, most, n int) {
+func (w *world) liveLoad() (total, most, n int) {
 	for _, s := range w.servers {
 		if s.state == membership.Live {
 			total += s.load()
@@ -248,8 +250,8 @@
 	return total, most, n
 }
 
-func (w *world) limit() float64 {
-	total, _, n := w.live()
+func (w *world) loadLimit() float64 {
+	total, _, n := w.liveLoad()
 	return routing.Bound(w.Bound, float64(total), n)
 }
 
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -20,31 +20,31 @@
 	Bytes uint64
 }
 
-// Control holds the counters of the traffic with peers since the process started.
-type Control struct {
+// ControlStats holds the counters of the traffic with peers since the process started.
+type ControlStats struct {
 	Traffic []Traffic
 	// Dropped counts by kind the messages that had no link to the peer or met a full queue.
 	Dropped map[string]uint64
-	// Strangers counts connections rejected before they identified themselves as a peer of
+	// UnknownPeers counts connections rejected before they identified themselves as a peer of
 	// this fleet.
-	Strangers uint64
+	UnknownPeers uint64
 	// BadFrames counts links closed because of bytes that are not a valid frame.
 	BadFrames uint64
 }
 
-// control is a collector that reads the counters of the links at each scrape. The links
+// controlCollector is a collector that reads the counters of the links at each scrape. The links
 // therefore do not depend on this package and update their counters without its locks.
-type control struct {
-	read     func() Control
+type controlCollector struct {
+	read     func() ControlStats
 	bytes    *prometheus.Desc
 	messages *prometheus.Desc
 	dropped  *prometheus.Desc
 	rejected *prometheus.Desc
 }
 
-// ReadControl registers metrics of the control traffic. They are read from f at each scrape.
-func (m *Metrics) ReadControl(f func() Control) {
-	m.registry.MustRegister(&control{
+// RegisterControl registers metrics of the control traffic. They are read from f at each scrape.
+func (m *Metrics) RegisterControl(f func() ControlStats) {
+	m.registry.MustRegister(&controlCollector{
 		read:     f,
 		bytes:    prometheus.NewDesc("ebonydyke_control_bytes_total", "Bytes exchanged with peers, including framing.", []string{"kind", "direction"}, nil),
 		messages: prometheus.NewDesc("ebonydyke_control_messages_total", "Messages exchanged with peers.", []string{"kind", "direction"}, nil),
@@ -54,7 +54,7 @@
 }
 
 // Describe implements prometheus.Collector.
-func (c *control) Describe(out chan<- *prometheus.Desc) {
+func (c *controlCollector) Describe(out chan<- *prometheus.Desc) {
 	out <- c.bytes
 	out <- c.messages
 	out <- c.dropped
@@ -62,7 +62,7 @@
 }
 
 // Collect implements prometheus.Collector.
-func (c *control) Collect(out chan<- prometheus.Metric) {
+func (c *controlCollector) Collect(out chan<- prometheus.Metric) {
 	stats := c.read()
 	for _, t := range stats.Traffic {
 		labels := []string{t.Kind, string(t.Direction)}
@@ -72,6 +72,6 @@
 	for kind, n := range stats.Dropped {
 		out <- prometheus.MustNewConstMetric(c.dropped, prometheus.CounterValue, float64(n), kind)
 	}
-	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(stats.Strangers), "stranger")
+	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(stats.UnknownPeers), "stranger")
 	out <- prometheus.MustNewConstMetric(c.rejected, prometheus.CounterValue, float64(stats.BadFrames), "bad-frame")
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -22,13 +22,13 @@
 	refusals      *prometheus.CounterVec
 	retries       *prometheus.CounterVec
 	firstByte     *prometheus.HistogramVec
-	whole         *prometheus.HistogramVec
+	responseTime  *prometheus.HistogramVec
 	callerBytes   prometheus.Counter
 	dials         *prometheus.CounterVec
 	generation    prometheus.Gauge
 	ready         prometheus.Gauge
 	platformCalls *prometheus.CounterVec
-	core          *prometheus.CounterVec
+	coreEvents    *prometheus.CounterVec
 }
 
 // New returns metrics with every reason's counters initialised to zero, so that a rate over
@@ -36,20 +36,20 @@
 func New() *Metrics {
 	m := &Metrics{
 		registry:      prometheus.NewRegistry(),
-		refusals:      counters("refusals_total", "Requests answered by the fleet itself, as refusals or failures, by reason.", "reason"),
-		retries:       counters("retries_total", "Attempts after the first of a request, by reason.", "reason"),
-		firstByte:     histograms("first_byte_seconds", "Time from the arrival of a request to the first byte of its response."),
-		whole:         histograms("answer_seconds", "Time from the arrival of a request to the end of its response."),
+		refusals:      newCounterVec("refusals_total", "Requests answered by the fleet itself, as refusals or failures, by reason.", "reason"),
+		retries:       newCounterVec("retries_total", "Attempts after the first of a request, by reason.", "reason"),
+		firstByte:     newHistogramVec("first_byte_seconds", "Time from the arrival of a request to the first byte of its response."),
+		responseTime:  newHistogramVec("answer_seconds", "Time from the arrival of a request to the end of its response."),
 		callerBytes:   prometheus.NewCounter(prometheus.CounterOpts{Name: "ebonydyke_caller_bytes_total", Help: "Bytes of response bodies sent to callers."}),
-		dials:         counters("backend_dials_total", "Attempts to open a connection to a backend server, by reason.", "reason"),
-		generation:    gauge("generation", "Generation of the configuration in force, 0 if there is none."),
-		ready:         gauge("ready", "1 until the graceful shutdown starts, then 0."),
-		platformCalls: counters("platform_calls_total", "Completed calls to the platform, by kind and result; a long-polling watch is one call.", "kind", "result"),
-		core:          counters("core_events_total", "Events counted by the core, such as messages that it shed.", "counter", "label"),
+		dials:         newCounterVec("backend_dials_total", "Attempts to open a connection to a backend server, by reason.", "reason"),
+		generation:    newGauge("generation", "Generation of the configuration in force, 0 if there is none."),
+		ready:         newGauge("ready", "1 until the graceful shutdown starts, then 0."),
+		platformCalls: newCounterVec("platform_calls_total", "Completed calls to the platform, by kind and result; a long-polling watch is one call.", "kind", "result"),
+		coreEvents:    newCounterVec("core_events_total", "Events counted by the core, such as messages that it shed.", "counter", "label"),
 	}
 	m.registry.MustRegister(
-		m.refusals, m.retries, m.firstByte, m.whole, m.callerBytes, m.dials, m.generation, m.ready,
-		m.platformCalls, m.core,
+		m.refusals, m.retries, m.firstByte, m.responseTime, m.callerBytes, m.dials, m.generation, m.ready,
+		m.platformCalls, m.coreEvents,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	for _, r := range reason.All {
@@ -63,15 +63,15 @@
 	return m
 }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "ebonydyke_" + name, Help: help}, labels)
 }
 
-func gauge(name, help string) prometheus.Gauge {
+func newGauge(name, help string) prometheus.Gauge {
 	return prometheus.NewGauge(prometheus.GaugeOpts{Name: "ebonydyke_" + name, Help: help})
 }
 
-func histograms(name, help string) *prometheus.HistogramVec {
+func newHistogramVec(name, help string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "ebonydyke_" + name, Help: help, Buckets: latencyBuckets,
 	}, []string{"service"})
@@ -80,8 +80,8 @@
 // Gatherer returns the gatherer of the metrics, for an HTTP handler.
 func (m *Metrics) Gatherer() prometheus.Gatherer { return m.registry }
 
-// InFlight registers the gauge of requests in flight. It is read from f at each scrape.
-func (m *Metrics) InFlight(f func() float64) {
+// RegisterInFlight registers the gauge of requests in flight. It is read from f at each scrape.
+func (m *Metrics) RegisterInFlight(f func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "ebonydyke_requests_in_flight", Help: "Requests in flight at this instance.",
 	}, f))
@@ -96,7 +96,7 @@
 // Answered records the time to the first byte and to the end of a complete response.
 func (m *Metrics) Answered(service string, firstByte, total time.Duration) {
 	m.firstByte.WithLabelValues(service).Observe(firstByte.Seconds())
-	m.whole.WithLabelValues(service).Observe(total.Seconds())
+	m.responseTime.WithLabelValues(service).Observe(total.Seconds())
 }
 
 // CallerBytes adds n to the bytes of response bodies sent to callers.
@@ -105,11 +105,11 @@
 // Dialled counts an attempt to open a connection to a backend server.
 func (m *Metrics) Dialled(r proxy.DialReason) { m.dials.WithLabelValues(string(r)).Inc() }
 
-// Generation sets the generation of the configuration in force.
-func (m *Metrics) Generation(generation uint64) { m.generation.Set(float64(generation)) }
+// SetGeneration sets the generation of the configuration in force.
+func (m *Metrics) SetGeneration(generation uint64) { m.generation.Set(float64(generation)) }
 
-// Ready sets whether the instance accepts new requests.
-func (m *Metrics) Ready(ready bool) {
+// SetReady sets whether the instance accepts new requests.
+func (m *Metrics) SetReady(ready bool) {
 	m.ready.Set(0)
 	if ready {
 		m.ready.Set(1)
@@ -123,5 +123,5 @@
 
 // Count adds n to a counter of the core.
 func (m *Metrics) Count(counter, label string, n int) {
-	m.core.WithLabelValues(counter, label).Add(float64(n))
+	m.coreEvents.WithLabelValues(counter, label).Add(float64(n))
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -23,9 +23,9 @@
 	m.Answered("llm", time.Second, time.Second)
 	m.PlatformCall("get", "ok")
 	m.Count("shed", "load", 1)
-	m.InFlight(func() float64 { return 1 })
-	m.ReadControl(func() metrics.Control {
-		return metrics.Control{
+	m.RegisterInFlight(func() float64 { return 1 })
+	m.RegisterControl(func() metrics.ControlStats {
+		return metrics.ControlStats{
 			Traffic: []metrics.Traffic{{Kind: "digest", Direction: metrics.Sent}},
 			Dropped: map[string]uint64{"digest": 0},
 		}
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -24,9 +24,9 @@
 
 var start = time.UnixMilli(1_764_000_000_000).UTC()
 
-// carry encodes and decodes a message. It returns the decoded message and the size of the
+// roundTrip encodes and decodes a message. It returns the decoded message and the size of the
 // frame.
-func carry(t require.TestingT, e *Encoder, d *Decoder, m core.PeerMessage) (core.PeerMessage, int) {
+func roundTrip(t require.TestingT, e *Encoder, d *Decoder, m core.PeerMessage) (core.PeerMessage, int) {
 	frame, err := e.Encode(m)
 	require.NoError(t, err)
 	body, err := readFrame(bufio.NewReader(bytes.NewReader(frame)), maxFrame)
@@ -36,14 +36,14 @@
 	return got, len(frame)
 }
 
-// TestMessagesSurviveTheLink passes random messages through one encoder and decoder, whose state
+// TestMessagesRoundTrip passes random messages through one encoder and decoder, whose state
 // depends on the messages before, and compares each with the decoded one.
-func TestMessagesSurviveTheLink(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e, d := NewEncoder(), NewDecoder()
 		for range rapid.IntRange(1, 8).Draw(t, "messages") {
 			m := drawMessage(t)
-			got, _ := carry(t, e, d, m)
+			got, _ := roundTrip(t, e, d, m)
 			if m.Digest != nil {
 				for _, lists := range [][2]*[]load.Count{
 					{&m.Digest.Loads, &got.Digest.Loads},
@@ -104,10 +104,10 @@
 	return d
 }
 
-// TestEveryFieldSurvivesTheLink sets every field of every message. A field that is added in the
+// TestEveryFieldRoundTrips sets every field of every message. A field that is added in the
 // core but not to the codec would arrive empty, such as the time at which a claim expires and its
 // key is free.
-func TestEveryFieldSurvivesTheLink(t *testing.T) {
+func TestEveryFieldRoundTrips(t *testing.T) {
 	for _, m := range []core.PeerMessage{
 		{Digest: &core.Digest{}}, {ConfigOffer: &core.ConfigOffer{}}, {ConfigWanted: &core.ConfigWanted{}},
 		{EntriesOffer: &core.EntriesOffer{}}, {EntriesWanted: &core.EntriesWanted{}},
@@ -116,10 +116,10 @@
 		v := reflect.ValueOf(&m).Elem()
 		for i := range v.NumField() {
 			if field := v.Field(i); !field.IsNil() {
-				fill(t, field.Elem())
+				setNonZero(t, field.Elem())
 			}
 		}
-		got, _ := carry(t, NewEncoder(), NewDecoder(), m)
+		got, _ := roundTrip(t, NewEncoder(), NewDecoder(), m)
 		if m.Digest != nil {
 			// The incarnation is sent once in the hello and not in each digest.
 			got.Digest.Incarnation = m.Digest.Incarnation
@@ -128,8 +128,8 @@
 	}
 }
 
-// fill sets a value to a valid value of its type other than zero.
-func fill(t *testing.T, v reflect.Value) {
+// setNonZero sets a value to a valid value of its type other than zero.
+func setNonZero(t *testing.T, v reflect.Value) {
 	switch v.Interface().(type) {
 	case time.Time:
 		v.Set(reflect.ValueOf(start))
@@ -153,14 +153,14 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i))
+			setNonZero(t, v.Field(i))
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0))
+		setNonZero(t, v.Index(0))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem())
+		setNonZero(t, v.Elem())
 	case reflect.String:
 		v.SetString("word")
 	case reflect.Bool:
@@ -185,8 +185,8 @@
 		}
 		return core.PeerMessage{Digest: out}
 	}
-	_, first := carry(t, e, d, digest(1))
-	_, second := carry(t, e, d, digest(2))
+	_, first := roundTrip(t, e, d, digest(1))
+	_, second := roundTrip(t, e, d, digest(2))
 	require.Greater(t, first, 12*20)
 	require.Equal(t, 32, second)
 }
@@ -198,14 +198,14 @@
 	for i := range 3 * maxNames {
 		fact := membership.Fact{Name: "entry-" + time.Duration(i).String(), Incarnation: 1, State: membership.Live}
 		m := core.PeerMessage{Digest: &core.Digest{Seq: uint64(i + 1), At: start, Facts: []membership.Fact{fact}}}
-		got, _ := carry(t, e, d, m)
+		got, _ := roundTrip(t, e, d, m)
 		require.Equal(t, m, got)
 		require.LessOrEqual(t, len(d.names), maxNames/2+2)
 	}
 }
 
-func TestTextOverTheLimitIsNotSent(t *testing.T) {
-	text := strings.Repeat("x", maxText+1)
+func TestOversizedConfigIsRefused(t *testing.T) {
+	text := strings.Repeat("x", maxConfigSize+1)
 	_, err := NewEncoder().Encode(core.PeerMessage{ConfigOffer: &core.ConfigOffer{Envelope: config.Envelope{Text: text}}})
 	require.ErrorIs(t, err, errTooLarge)
 }
@@ -243,9 +243,9 @@
 	})
 }
 
-// TestCoreEstimatesTheWire compares the core's estimates of message sizes with the sizes on
+// TestWireEstimateMatchesFrameSize compares the core's estimates of message sizes with the sizes on
 // the connection. With wrong estimates the core would not keep its budget for control traffic.
-func TestCoreEstimatesTheWire(t *testing.T) {
+func TestWireEstimateMatchesFrameSize(t *testing.T) {
 	e := NewEncoder()
 	r := rand.New(rand.NewPCG(1, 2))
 	estimated, actual := 0, 0
@@ -265,7 +265,7 @@
 		require.NoError(t, err)
 		if i > 20 {
 			estimated += m.WireEstimate()
-			actual += len(frame) + YamuxHeader
+			actual += len(frame) + YamuxHeaderSize
 		}
 	}
 	require.InEpsilon(t, actual, estimated, 0.1)
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -222,7 +222,7 @@
 		out.Reports = append(out.Reports, membership.Report{
 			Backend:     name,
 			Incarnation: r.Incarnation,
-			State:       states[r.State],
+			State:       stateByCode[r.State],
 			InFlight:    int(r.InFlight),
 			At:          time.UnixMilli(d.last.at - r.Age).UTC(),
 		})
@@ -237,7 +237,7 @@
 			return err
 		}
 		out.Facts = append(out.Facts, membership.Fact{
-			Name: name, Incarnation: f.Incarnation, State: states[f.State],
+			Name: name, Incarnation: f.Incarnation, State: stateByCode[f.State],
 		})
 	}
 	return nil
@@ -273,7 +273,7 @@
 	}
 	return membership.Member{
 		Name: name, Role: role, Service: service, Zone: zone, Address: m.Address,
-		Slots: int(m.Slots), Incarnation: m.Incarnation, State: states[m.State],
+		Slots: int(m.Slots), Incarnation: m.Incarnation, State: stateByCode[m.State],
 	}, nil
 }
 
@@ -334,12 +334,12 @@
 func inflateOffer(in *peerpb.ConfigOffer) (*core.ConfigOffer, error) {
 	r := flate.NewReader(bytes.NewReader(in.Deflated))
 	// A small frame may inflate to any size, so reading stops one byte past the limit.
-	text, err := io.ReadAll(io.LimitReader(r, maxText+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxConfigSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: inflate: %w", errFrame, err)
 	}
-	if len(text) > maxText {
-		return nil, fmt.Errorf("%w: configuration over %d bytes", errFrame, maxText)
+	if len(text) > maxConfigSize {
+		return nil, fmt.Errorf("%w: configuration over %d bytes", errFrame, maxConfigSize)
 	}
 	env := config.Envelope{Generation: in.Generation, Edit: in.Edit, Text: string(text)}
 	return &core.ConfigOffer{Envelope: env}, nil
@@ -355,7 +355,7 @@
 
 func decodeClaimReply(in *peerpb.ClaimReply) (*claims.Reply, error) {
 	set, first := claims.State(in.Set), claims.State(in.First)
-	verdict, ok := verdicts[in.Verdict]
+	verdict, ok := verdictByCode[in.Verdict]
 	if uint32(set) != in.Set || uint32(first) != in.First || !ok {
 		return nil, fmt.Errorf("%w: unknown value in claim reply", errFrame)
 	}
@@ -364,11 +364,11 @@
 	}, nil
 }
 
-var states = reversed(stateCodes)
+var stateByCode = invert(stateCodes)
 
-var verdicts = reversed(verdictCodes)
+var verdictByCode = invert(verdictCodes)
 
-func reversed[K, V comparable](m map[K]V) map[V]K {
+func invert[K, V comparable](m map[K]V) map[V]K {
 	out := make(map[V]K, len(m))
 	for k, v := range m {
 		out[v] = k
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -29,9 +29,9 @@
 	maxNames = 8192
 	// maxName bounds one name in bytes.
 	maxName = 256
-	// maxText bounds the operators' configuration in bytes. It is the platform's limit for a
+	// maxConfigSize bounds the operators' configuration in bytes. It is the platform's limit for a
 	// value.
-	maxText = 1 << 20
+	maxConfigSize = 1 << 20
 )
 
 // errTooLarge means that a message exceeds the limits of a link.
@@ -41,12 +41,12 @@
 // the numbers of the last digest, against which the next one is delta encoded. All frames must
 // therefore be sent, in the order in which they were encoded.
 type Encoder struct {
-	// texts is shared by the encoders of all links.
-	texts *deflatedText
-	ids   map[string]uint32
-	last  digestBase
-	frame peerpb.Frame
-	buf   []byte
+	// configCache is shared by the encoders of all links.
+	configCache *deflateCache
+	ids         map[string]uint32
+	last        digestBase
+	frame       peerpb.Frame
+	buf         []byte
 }
 
 // digestBase holds the numbers of the previous digest, the base of the delta encoding.
@@ -57,10 +57,10 @@
 }
 
 // NewEncoder returns the encoder of a new stream.
-func NewEncoder() *Encoder { return newEncoder(new(deflatedText)) }
+func NewEncoder() *Encoder { return newEncoder(new(deflateCache)) }
 
-func newEncoder(cache *deflatedText) *Encoder {
-	return &Encoder{texts: cache, ids: make(map[string]uint32)}
+func newEncoder(cache *deflateCache) *Encoder {
+	return &Encoder{configCache: cache, ids: make(map[string]uint32)}
 }
 
 // Encode returns the frame of a message with its length prefix. The slice is valid until the next
@@ -71,7 +71,7 @@
 		clear(e.ids)
 		e.frame.Reset_ = true
 	}
-	if err := e.fill(m); err != nil {
+	if err := e.fillFrame(m); err != nil {
 		return nil, err
 	}
 	if len(e.ids) > maxNames {
@@ -80,7 +80,7 @@
 	return e.marshal()
 }
 
-func (e *Encoder) fill(m core.PeerMessage) error {
+func (e *Encoder) fillFrame(m core.PeerMessage) error {
 	if m.Digest != nil {
 		e.frame.Digest = e.digest(m.Digest)
 	}
@@ -263,26 +263,26 @@
 
 func (e *Encoder) configOffer(offer *core.ConfigOffer) (*peerpb.ConfigOffer, error) {
 	env := offer.Envelope
-	if len(env.Text) > maxText {
+	if len(env.Text) > maxConfigSize {
 		return nil, errTooLarge
 	}
-	deflated, err := e.texts.of(env.Text)
+	deflated, err := e.configCache.deflate(env.Text)
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.ConfigOffer{Generation: env.Generation, Edit: env.Edit, Deflated: deflated}, nil
 }
 
-// deflatedText caches the compressed form of the last configuration sent, so that it is compressed
+// deflateCache caches the compressed form of the last configuration sent, so that it is compressed
 // once for all peers. A list of customers is repetitive, and each of a thousand changes a day goes
 // to every instance.
-type deflatedText struct {
+type deflateCache struct {
 	mu       sync.Mutex
 	text     string
 	deflated []byte
 }
 
-func (c *deflatedText) of(text string) ([]byte, error) {
+func (c *deflateCache) deflate(text string) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.deflated != nil && c.text == text {
--- a/internal/peer/ending.go
+++ b/internal/peer/ending.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/yamux"
 )
 
-// endingConn is the connection of a link. Close expires the deadlines of the link's streams before
+// linkConn is the connection of a link. Close expires the deadlines of the link's streams before
 // it closes the connection.
 //
 // This works around a busy loop in yamux. A Read on a stream whose session is shutting down neither
@@ -18,54 +18,54 @@
 // of a peer, then stalled a whole instance for 15 s, the idle limit of a link: it sent no responses
 // and wrote no logs, and it accepted a revoked key afterwards. An expired deadline ends the loop,
 // and yamux calls this Close before it yields.
-type endingConn struct {
+type linkConn struct {
 	net.Conn
 	mu      sync.Mutex
 	streams []*yamux.Stream
-	ended   bool
+	closed  bool
 }
 
 // Close aborts pending reads and writes on the streams and closes the connection.
-func (c *endingConn) Close() error {
+func (c *linkConn) Close() error {
 	c.mu.Lock()
-	c.ended = true
+	c.closed = true
 	for _, stream := range c.streams {
-		expire(stream)
+		expireDeadlines(stream)
 	}
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// add registers a stream whose pending reads and writes Close aborts.
-func (c *endingConn) add(stream *yamux.Stream) {
+// addStream registers a stream whose pending reads and writes Close aborts.
+func (c *linkConn) addStream(stream *yamux.Stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.streams = append(c.streams, stream)
-	if c.ended {
-		expire(stream)
+	if c.closed {
+		expireDeadlines(stream)
 	}
 }
 
-// expire aborts all present and future reads and writes on a stream. Setting the deadline
+// expireDeadlines aborts all present and future reads and writes on a stream. Setting the deadline
 // of a yamux stream never fails; it returns an error only to implement net.Conn.
-func expire(stream *yamux.Stream) { _ = stream.SetDeadline(time.Unix(1, 0)) }
+func expireDeadlines(stream *yamux.Stream) { _ = stream.SetDeadline(time.Unix(1, 0)) }
 
-// readWithin sets the timeout of the next read from a stream.
-func (c *endingConn) readWithin(stream *yamux.Stream, timeout time.Duration) error {
-	return c.within(stream.SetReadDeadline, timeout)
+// setReadTimeout sets the timeout of the next read from a stream.
+func (c *linkConn) setReadTimeout(stream *yamux.Stream, timeout time.Duration) error {
+	return c.setTimeout(stream.SetReadDeadline, timeout)
 }
 
-// writeWithin sets the timeout of the next write to a stream.
-func (c *endingConn) writeWithin(stream *yamux.Stream, timeout time.Duration) error {
-	return c.within(stream.SetWriteDeadline, timeout)
+// setWriteTimeout sets the timeout of the next write to a stream.
+func (c *linkConn) setWriteTimeout(stream *yamux.Stream, timeout time.Duration) error {
+	return c.setTimeout(stream.SetWriteDeadline, timeout)
 }
 
-// within sets a deadline unless the connection is closed. After Close, a new deadline would
+// setTimeout sets a deadline unless the connection is closed. After Close, a new deadline would
 // replace the expired one.
-func (c *endingConn) within(set func(time.Time) error, timeout time.Duration) error {
+func (c *linkConn) setTimeout(set func(time.Time) error, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return net.ErrClosed
 	}
 	return set(time.Now().Add(timeout))
--- a/internal/peer/ending_test.go
+++ b/internal/peer/ending_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowClose is a connection whose Close takes some time, like a system call.
-type slowClose struct {
+// slowCloseConn is a connection whose Close takes some time, like a system call.
+type slowCloseConn struct {
 	net.Conn
-	takes time.Duration
+	delay time.Duration
 }
 
-func (c slowClose) Close() error {
-	time.Sleep(c.takes)
+func (c slowCloseConn) Close() error {
+	time.Sleep(c.delay)
 	return c.Conn.Close()
 }
 
@@ -26,7 +26,7 @@
 // of the link to the restarted instance was shut down while its streams were still open, and a
 // goroutine that read from one of them spun in yamux. The readers must return before the close of
 // the connection begins.
-func TestTheEndOfALinkTakesNoProcessorTime(t *testing.T) {
+func TestClosingLinkDoesNotSpin(t *testing.T) {
 	local, remote := net.Pipe()
 	t.Cleanup(func() { _ = remote.Close() })
 	remoteSession, err := openSession(remote, false)
@@ -34,28 +34,28 @@
 	t.Cleanup(func() { _ = remoteSession.Close() })
 
 	const closeDelay = 400 * time.Millisecond
-	conn := &endingConn{Conn: slowClose{Conn: local, takes: closeDelay}}
+	conn := &linkConn{Conn: slowCloseConn{Conn: local, delay: closeDelay}}
 	session, err := openSession(conn, true)
 	require.NoError(t, err)
 	ended := make(chan error, 2)
 	for _, idle := range []time.Duration{time.Hour, 0} {
 		stream, err := session.OpenStream()
 		require.NoError(t, err)
-		conn.add(stream)
-		go func() { ended <- readOne(conn, stream, idle) }()
+		conn.addStream(stream)
+		go func() { ended <- readByte(conn, stream, idle) }()
 	}
 	time.Sleep(50 * time.Millisecond)
 
-	before := processorTime(t)
+	before := cpuTime(t)
 	require.NoError(t, session.Close())
-	require.Less(t, processorTime(t)-before, closeDelay/4)
+	require.Less(t, cpuTime(t)-before, closeDelay/4)
 	require.Error(t, <-ended)
 	require.Error(t, <-ended)
 }
 
-func readOne(conn *endingConn, stream *yamux.Stream, idle time.Duration) error {
+func readByte(conn *linkConn, stream *yamux.Stream, idle time.Duration) error {
 	if idle > 0 {
-		if err := conn.readWithin(stream, idle); err != nil {
+		if err := conn.setReadTimeout(stream, idle); err != nil {
 			return err
 		}
 	}
@@ -63,8 +63,8 @@
 	return err
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime(t *testing.T) time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -30,10 +30,10 @@
 
 // Errors for which a connection is refused as a link.
 var (
-	errWrongPeer  = errors.New("peer: unexpected instance at this address")
-	errOtherFleet = errors.New("peer: instance belongs to another fleet")
-	errOlder      = errors.New("peer: a later incarnation is already connected")
-	errFull       = errors.New("peer: too many links")
+	errWrongPeer        = errors.New("peer: unexpected instance at this address")
+	errOtherFleet       = errors.New("peer: instance belongs to another fleet")
+	errStaleIncarnation = errors.New("peer: a later incarnation is already connected")
+	errTooManyLinks     = errors.New("peer: too many links")
 )
 
 // link is a connection to a peer on which the handshake is complete.
@@ -41,11 +41,11 @@
 	owner   *Links
 	peer    *peerpb.Hello
 	session *yamux.Session
-	conn    *endingConn
+	conn    *linkConn
 	control chan core.PeerMessage
 	bulk    chan core.PeerMessage
-	// ended is closed after the link has posted its last event.
-	ended chan struct{}
+	// done is closed after the link has posted its last event.
+	done chan struct{}
 }
 
 // send queues a message and reports whether the queue had room.
@@ -62,28 +62,28 @@
 	}
 }
 
-// run performs the handshake on a connection, registers the link and serves it until it is
+// serveConn performs the handshake on a connection, registers the link and serves it until it is
 // closed.
-func (l *Links) run(ctx context.Context, raw net.Conn, name string, dialed bool) error {
-	conn := &endingConn{Conn: &countingConn{Conn: raw, stats: &l.stats}}
+func (l *Links) serveConn(ctx context.Context, raw net.Conn, name string, dialed bool) error {
+	conn := &linkConn{Conn: &countingConn{Conn: raw, stats: &l.stats}}
 	// Cancellation of ctx must also abort reads and writes in progress.
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
 	defer func() { _ = raw.Close() }()
-	peer, err := l.greet(conn)
+	peer, err := l.handshake(conn)
 	if !dialed {
-		<-l.strangers
+		<-l.pendingHandshakes
 	}
 	if err != nil {
 		if !dialed {
-			l.stats.stranger()
+			l.stats.rejected()
 		}
 		return err
 	}
 	if peer.Fleet != l.cfg.Fleet {
 		// The address is now used by another fleet. If its revisions and generations happen to be
 		// higher, this fleet would adopt its entries and configuration for good.
-		l.stats.stranger()
+		l.stats.rejected()
 		return errOtherFleet
 	}
 	if peer.Name == l.cfg.Name || (name != "" && peer.Name != name) {
@@ -98,7 +98,7 @@
 		owner: l, peer: peer, session: session, conn: conn,
 		control: make(chan core.PeerMessage, controlQueue),
 		bulk:    make(chan core.PeerMessage, bulkQueue),
-		ended:   make(chan struct{}),
+		done:    make(chan struct{}),
 	}
 	old, err := l.register(k)
 	if err != nil {
@@ -108,14 +108,14 @@
 		// The peer made a new connection, so the old link is dead. The old link's last event must
 		// precede the first event of the new one.
 		_ = old.session.Close()
-		<-old.ended
+		<-old.done
 	}
 	return k.serve(ctx, dialed)
 }
 
-// greet exchanges hellos. No other memory is allocated for a connection before its handshake is
+// handshake exchanges hellos. No other memory is allocated for a connection before its handshake is
 // complete.
-func (l *Links) greet(conn net.Conn) (*peerpb.Hello, error) {
+func (l *Links) handshake(conn net.Conn) (*peerpb.Hello, error) {
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
 	}
@@ -169,10 +169,10 @@
 	defer l.mu.Unlock()
 	old := l.links[k.peer.Name]
 	if old != nil && old.peer.Incarnation > k.peer.Incarnation {
-		return nil, errOlder
+		return nil, errStaleIncarnation
 	}
 	if old == nil && len(l.links) >= maxLinks {
-		return nil, errFull
+		return nil, errTooManyLinks
 	}
 	l.links[k.peer.Name] = k
 	return old, nil
@@ -188,23 +188,23 @@
 
 // serve sends and receives messages until either side closes the link.
 func (k *link) serve(ctx context.Context, dialed bool) error {
-	defer close(k.ended)
+	defer close(k.done)
 	post := k.owner.cfg.Post
 	post(core.PeerConnected{Peer: k.peer.Name, Incarnation: k.peer.Incarnation})
 	defer func() {
 		k.owner.unregister(k)
 		post(core.PeerLost{Peer: k.peer.Name})
 	}()
-	control, err := k.stream(ctx, dialed)
+	control, err := k.nextStream(ctx, dialed)
 	if err != nil {
 		return err
 	}
-	bulk, err := k.stream(ctx, dialed)
+	bulk, err := k.nextStream(ctx, dialed)
 	if err != nil {
 		return err
 	}
-	k.conn.add(control)
-	k.conn.add(bulk)
+	k.conn.addStream(control)
+	k.conn.addStream(bulk)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return k.read(control, k.owner.cfg.IdleLimit) })
 	group.Go(func() error { return k.read(bulk, 0) })
@@ -217,9 +217,9 @@
 	return group.Wait()
 }
 
-// stream opens or accepts the next stream. The control stream comes first, then the bulk
+// nextStream opens or accepts the next stream. The control stream comes first, then the bulk
 // stream.
-func (k *link) stream(ctx context.Context, dialed bool) (*yamux.Stream, error) {
+func (k *link) nextStream(ctx context.Context, dialed bool) (*yamux.Stream, error) {
 	if dialed {
 		return k.session.OpenStream()
 	}
@@ -236,7 +236,7 @@
 	d := NewDecoder()
 	for {
 		if idle > 0 {
-			if err := k.conn.readWithin(stream, idle); err != nil {
+			if err := k.conn.setReadTimeout(stream, idle); err != nil {
 				return err
 			}
 		}
@@ -266,7 +266,7 @@
 // write sends the queued messages. The link is closed if the peer accepts no bytes for
 // writeTimeout. Until then messages that find the queue full are dropped, so senders never block.
 func (k *link) write(ctx context.Context, stream *yamux.Stream, queue <-chan core.PeerMessage) error {
-	e := newEncoder(&k.owner.texts)
+	e := newEncoder(&k.owner.configCache)
 	for {
 		select {
 		case <-ctx.Done():
@@ -277,7 +277,7 @@
 				k.owner.stats.dropped(KindOf(m))
 				return err
 			}
-			if err := k.conn.writeWithin(stream, writeTimeout); err != nil {
+			if err := k.conn.setWriteTimeout(stream, writeTimeout); err != nil {
 				return err
 			}
 			if _, err := stream.Write(frame); err != nil {
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -18,7 +18,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/load"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // instance is a running Links with the events that it posted.
 type instance struct {
@@ -31,19 +31,19 @@
 
 func newInstance(t *testing.T, name string, incarnation uint64, seeds ...string) *instance {
 	t.Helper()
-	return newImpatient(t, patience, name, incarnation, seeds...)
+	return newInstanceWithIdleLimit(t, testTimeout, name, incarnation, seeds...)
 }
 
-// newImpatient starts an instance that closes links after idle without a received
+// newInstanceWithIdleLimit starts an instance that closes links after idle without a received
 // frame.
-func newImpatient(t *testing.T, idle time.Duration, name string, incarnation uint64, seeds ...string) *instance {
+func newInstanceWithIdleLimit(t *testing.T, idle time.Duration, name string, incarnation uint64, seeds ...string) *instance {
 	t.Helper()
 	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	in := &instance{address: listener.Addr().String()}
 	in.Links = New(Config{
 		Name: name, Zone: "zone-1", Incarnation: incarnation, Listener: listener, Seeds: seeds,
-		Post: in.post, IdleLimit: idle, DialWait: 200 * time.Millisecond,
+		Post: in.post, IdleLimit: idle, DialDelay: 200 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -61,7 +61,7 @@
 	in.events = append(in.events, e)
 }
 
-func (in *instance) count(match func(core.Event) bool) int {
+func (in *instance) countEvents(match func(core.Event) bool) int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	n := 0
@@ -73,10 +73,10 @@
 	return n
 }
 
-func connected(e core.Event) bool { _, ok := e.(core.PeerConnected); return ok }
-func lost(e core.Event) bool      { _, ok := e.(core.PeerLost); return ok }
+func isConnected(e core.Event) bool { _, ok := e.(core.PeerConnected); return ok }
+func isLost(e core.Event) bool      { _, ok := e.(core.PeerLost); return ok }
 
-func claimsFrom(name string) func(core.Event) bool {
+func isClaimFrom(name string) func(core.Event) bool {
 	return func(e core.Event) bool {
 		r, ok := e.(core.PeerReceived)
 		return ok && r.From == name && r.Message.Claim != nil
@@ -85,7 +85,7 @@
 
 func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, patience, 5*time.Millisecond, condition)
+	require.Eventually(t, ok, testTimeout, 5*time.Millisecond, condition)
 }
 
 func claim(token uint64) core.PeerMessage {
@@ -97,22 +97,22 @@
 // per kind.
 func TestPairHasOneLink(t *testing.T) {
 	a, b := newInstance(t, "a", 1), newInstance(t, "b", 1)
-	a.Set([]core.PeerAddress{{Name: "b", Address: b.address}})
-	b.Set([]core.PeerAddress{{Name: "a", Address: a.address}})
-	eventually(t, "link", func() bool { return a.count(connected) > 0 && b.count(connected) > 0 })
+	a.SetPeers([]core.PeerAddress{{Name: "b", Address: b.address}})
+	b.SetPeers([]core.PeerAddress{{Name: "a", Address: a.address}})
+	eventually(t, "link", func() bool { return a.countEvents(isConnected) > 0 && b.countEvents(isConnected) > 0 })
 	a.Send("b", claim(1))
 	b.Send("a", claim(2))
 	text := string(bytes.Repeat([]byte("text "), 100_000))
 	a.Send("b", core.PeerMessage{ConfigOffer: &core.ConfigOffer{Envelope: config.Envelope{Generation: 2, Text: text}}})
 	eventually(t, "messages", func() bool {
-		offers := b.count(func(e core.Event) bool {
+		offers := b.countEvents(func(e core.Event) bool {
 			r, ok := e.(core.PeerReceived)
 			return ok && r.Message.ConfigOffer != nil && r.Message.ConfigOffer.Envelope.Text == text
 		})
-		return a.count(claimsFrom("b")) == 1 && b.count(claimsFrom("a")) == 1 && offers == 1
+		return a.countEvents(isClaimFrom("b")) == 1 && b.countEvents(isClaimFrom("a")) == 1 && offers == 1
 	})
-	require.Equal(t, 1, a.count(connected))
-	require.Equal(t, 1, b.count(connected))
+	require.Equal(t, 1, a.countEvents(isConnected))
+	require.Equal(t, 1, b.countEvents(isConnected))
 	sent, got := a.Stats().Snapshot().Out, b.Stats().Snapshot().In
 	for _, k := range []Kind{ClaimKind, ConfigOfferKind} {
 		require.Equal(t, uint64(1), sent[k].Messages, k)
@@ -121,11 +121,11 @@
 	require.Less(t, sent[LinkOverhead].Bytes, uint64(200), "hello, two streams and window updates")
 }
 
-// TestSendToStalledPeerNeverWaits connects to a peer that completes the handshake and then reads
+// TestSendToStalledPeerDoesNotBlock connects to a peer that completes the handshake and then reads
 // nothing, like a process after SIGSTOP or a half-open connection. Send must return at once,
 // dropped messages must be counted, and the idle limit must close the link.
-func TestSendToStalledPeerNeverWaits(t *testing.T) {
-	a := newImpatient(t, 500*time.Millisecond, "a", 1)
+func TestSendToStalledPeerDoesNotBlock(t *testing.T) {
+	a := newInstanceWithIdleLimit(t, 500*time.Millisecond, "a", 1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -137,11 +137,11 @@
 			}
 			t.Cleanup(func() { _ = conn.Close() })
 			frozen := New(Config{Name: "z", Incarnation: 1})
-			_, _ = frozen.greet(conn)
+			_, _ = frozen.handshake(conn)
 		}
 	}()
-	a.Set([]core.PeerAddress{{Name: "z", Address: listener.Addr().String()}})
-	eventually(t, "link", func() bool { return a.count(connected) > 0 })
+	a.SetPeers([]core.PeerAddress{{Name: "z", Address: listener.Addr().String()}})
+	eventually(t, "link", func() bool { return a.countEvents(isConnected) > 0 })
 	big := core.PeerMessage{Digest: &core.Digest{At: start}}
 	for i := range 4000 {
 		big.Digest.Loads = append(big.Digest.Loads, load.Count{Backend: fmt.Sprint("server-", i), InFlight: i})
@@ -150,12 +150,12 @@
 		a.Send("z", big)
 	}
 	require.NotZero(t, a.Stats().Snapshot().Dropped[DigestKind])
-	eventually(t, "idle limit closes the link", func() bool { return a.count(lost) > 0 })
+	eventually(t, "idle limit closes the link", func() bool { return a.countEvents(isLost) > 0 })
 }
 
-// TestStrangersAreTurnedAway sends invalid first frames to the peer port. Each connection must
+// TestInvalidConnectionsAreClosed sends invalid first frames to the peer port. Each connection must
 // be closed and counted and must not become a link, and a valid peer must still be able to connect.
-func TestStrangersAreTurnedAway(t *testing.T) {
+func TestInvalidConnectionsAreClosed(t *testing.T) {
 	b := newInstance(t, "b", 1)
 	oversize := binary.AppendUvarint(nil, maxFrame+1)
 	for _, input := range [][]byte{
@@ -165,7 +165,7 @@
 		require.NoError(t, err)
 		_, err = conn.Write(input)
 		require.NoError(t, err)
-		require.NoError(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 		for err == nil {
 			_, err = conn.Read(make([]byte, 256))
 		}
@@ -173,11 +173,11 @@
 		require.False(t, isTimeout(err, &timeout), "the connection must be closed on %q", input)
 		require.NoError(t, conn.Close())
 	}
-	eventually(t, "connections counted", func() bool { return b.Stats().Snapshot().Strangers == 5 })
-	require.Zero(t, b.count(connected))
+	eventually(t, "connections counted", func() bool { return b.Stats().Snapshot().RejectedConns == 5 })
+	require.Zero(t, b.countEvents(isConnected))
 	a := newInstance(t, "a", 1)
-	a.Set([]core.PeerAddress{{Name: "b", Address: b.address}})
-	eventually(t, "valid peer connected", func() bool { return b.count(connected) == 1 })
+	a.SetPeers([]core.PeerAddress{{Name: "b", Address: b.address}})
+	eventually(t, "valid peer connected", func() bool { return b.countEvents(isConnected) == 1 })
 }
 
 func isTimeout(err error, target *net.Error) bool {
@@ -186,13 +186,13 @@
 	return ok && e.Timeout()
 }
 
-// TestBadFrameEndsTheLink sends an invalid frame after a valid handshake. The link must be closed,
+// TestBadFrameClosesLink sends an invalid frame after a valid handshake. The link must be closed,
 // the bad frame counted, and no message passed to the core.
-func TestBadFrameEndsTheLink(t *testing.T) {
+func TestBadFrameClosesLink(t *testing.T) {
 	b := newInstance(t, "b", 1)
 	conn, err := net.Dial("tcp", b.address)
 	require.NoError(t, err)
-	_, err = New(Config{Name: "a", Incarnation: 1}).greet(conn)
+	_, err = New(Config{Name: "a", Incarnation: 1}).handshake(conn)
 	require.NoError(t, err)
 	session, err := openSession(conn, true)
 	require.NoError(t, err)
@@ -203,24 +203,24 @@
 	require.NoError(t, err)
 	// The peer may close the session before the write returns.
 	_, _ = stream.Write([]byte{6, 0x1a, 4, 0x2a, 2, 1, 1})
-	eventually(t, "link closed", func() bool { return b.count(lost) == 1 })
+	eventually(t, "link closed", func() bool { return b.countEvents(isLost) == 1 })
 	require.Equal(t, uint64(1), b.Stats().Snapshot().BadFrames)
-	require.Zero(t, b.count(func(e core.Event) bool { _, ok := e.(core.PeerReceived); return ok }))
+	require.Zero(t, b.countEvents(func(e core.Event) bool { _, ok := e.(core.PeerReceived); return ok }))
 }
 
-// TestRestartedPeerReplacesItsLink restarts an instance under the same name while its peer still
+// TestRestartedPeerReplacesLink restarts an instance under the same name while its peer still
 // has the old connection. The new link must replace the old one, its events must follow the old
 // link's last event, and the old incarnation must not be able to reconnect.
-func TestRestartedPeerReplacesItsLink(t *testing.T) {
+func TestRestartedPeerReplacesLink(t *testing.T) {
 	b := newInstance(t, "b", 1)
 	first := newInstance(t, "a", 1, b.address)
-	eventually(t, "first", func() bool { return b.count(connected) == 1 })
+	eventually(t, "first", func() bool { return b.countEvents(isConnected) == 1 })
 	second := newInstance(t, "a", 2, b.address)
 	isSecond := func(e core.Event) bool { return e == core.PeerConnected{Peer: "a", Incarnation: 2} }
-	eventually(t, "second", func() bool { return b.count(isSecond) > 0 })
+	eventually(t, "second", func() bool { return b.countEvents(isSecond) > 0 })
 	eventually(t, "second's claim", func() bool {
 		second.Send("b", claim(2))
-		return b.count(claimsFrom("a")) > 0
+		return b.countEvents(isClaimFrom("a")) > 0
 	})
 	held := 0
 	b.mu.Lock()
@@ -240,28 +240,28 @@
 	_ = first
 }
 
-// TestLinkComesBackAfterACut closes the connection of a link several times. The dialing side
+// TestLinkIsReestablishedAfterClose closes the connection of a link several times. The dialing side
 // must reestablish it each time.
-func TestLinkComesBackAfterACut(t *testing.T) {
+func TestLinkIsReestablishedAfterClose(t *testing.T) {
 	a, b := newInstance(t, "a", 1), newInstance(t, "b", 1)
-	a.Set([]core.PeerAddress{{Name: "b", Address: b.address}})
+	a.SetPeers([]core.PeerAddress{{Name: "b", Address: b.address}})
 	for round := 1; round <= 3; round++ {
-		eventually(t, "link", func() bool { return b.count(connected) == round && a.count(connected) == round })
+		eventually(t, "link", func() bool { return b.countEvents(isConnected) == round && a.countEvents(isConnected) == round })
 		a.Links.mu.Lock()
 		_ = a.links["b"].session.Close()
 		a.Links.mu.Unlock()
-		eventually(t, "lost", func() bool { return b.count(lost) == round })
+		eventually(t, "lost", func() bool { return b.countEvents(isLost) == round })
 	}
-	a.Set(nil)
-	b.Set(nil)
+	a.SetPeers(nil)
+	b.SetPeers(nil)
 }
 
-// TestUnknownInstanceReachesALesserName starts an instance b that is not in the peer list of a. Of
+// TestGreaterNameDialsIfPeerDoesNot starts an instance b that is not in the peer list of a. Of
 // the pair, a has the lesser name but never dials, so b must dial.
-func TestUnknownInstanceReachesALesserName(t *testing.T) {
+func TestGreaterNameDialsIfPeerDoesNot(t *testing.T) {
 	a, b := newInstance(t, "a", 1), newInstance(t, "b", 1)
-	b.Set([]core.PeerAddress{{Name: "a", Address: a.address}})
-	eventually(t, "link", func() bool { return a.count(connected) == 1 && b.count(connected) == 1 })
+	b.SetPeers([]core.PeerAddress{{Name: "a", Address: a.address}})
+	eventually(t, "link", func() bool { return a.countEvents(isConnected) == 1 && b.countEvents(isConnected) == 1 })
 	b.Send("a", claim(1))
-	eventually(t, "claim", func() bool { return a.count(claimsFrom("b")) == 1 })
+	eventually(t, "claim", func() bool { return a.countEvents(isClaimFrom("b")) == 1 })
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -31,9 +31,9 @@
 	helloTimeout = 3 * time.Second
 	minBackoff   = 100 * time.Millisecond
 	maxBackoff   = 5 * time.Second
-	// servedPause is the interval at which the goroutine that keeps a peer connected checks an
+	// linkCheckInterval is the interval at which the goroutine that keeps a peer connected checks an
 	// existing link that it did not dial itself.
-	servedPause = time.Second
+	linkCheckInterval = time.Second
 )
 
 // Limits on connections that other hosts open.
@@ -41,8 +41,8 @@
 	// maxLinks is above the number of links that the largest layout requires, plus the links of
 	// all other instances to the owner of a partition of the claims ledger.
 	maxLinks = 512
-	// maxStrangers bounds the accepted connections that have not completed the handshake.
-	maxStrangers = 64
+	// maxPendingHandshakes bounds the accepted connections that have not completed the handshake.
+	maxPendingHandshakes = 64
 )
 
 // Config describes this instance to its peers and sets the parameters of its links.
@@ -62,26 +62,26 @@
 	// IdleLimit is the time without a frame on the control stream after which a link is closed.
 	// 0 selects the default.
 	IdleLimit time.Duration
-	// DialWait is how long the instance with the greater name of a pair waits for the other one
+	// DialDelay is how long the instance with the greater name of a pair waits for the other one
 	// to dial. 0 selects the default.
-	DialWait time.Duration
+	DialDelay time.Duration
 }
 
 const (
 	// defaultIdleLimit is several times the longest interval between digests.
 	defaultIdleLimit = 15 * time.Second
-	// defaultDialWait is longer than the usual delay until an instance appears in the peer list
+	// defaultDialDelay is longer than the usual delay until an instance appears in the peer list
 	// of the other one.
-	defaultDialWait = 5 * time.Second
+	defaultDialDelay = 5 * time.Second
 )
 
-// Links manages the links of this instance. Set and Send never block.
+// Links manages the links of this instance. SetPeers and Send never block.
 type Links struct {
-	cfg       Config
-	stats     Stats
-	texts     deflatedText
-	changed   chan struct{}
-	strangers chan struct{}
+	cfg               Config
+	stats             Stats
+	configCache       deflateCache
+	changed           chan struct{}
+	pendingHandshakes chan struct{}
 
 	mu     sync.Mutex
 	wanted map[string]string
@@ -93,15 +93,15 @@
 	if cfg.IdleLimit == 0 {
 		cfg.IdleLimit = defaultIdleLimit
 	}
-	if cfg.DialWait == 0 {
-		cfg.DialWait = defaultDialWait
+	if cfg.DialDelay == 0 {
+		cfg.DialDelay = defaultDialDelay
 	}
 	return &Links{
-		cfg:       cfg,
-		changed:   make(chan struct{}, 1),
-		strangers: make(chan struct{}, maxStrangers),
-		wanted:    make(map[string]string),
-		links:     make(map[string]*link),
+		cfg:               cfg,
+		changed:           make(chan struct{}, 1),
+		pendingHandshakes: make(chan struct{}, maxPendingHandshakes),
+		wanted:            make(map[string]string),
+		links:             make(map[string]*link),
 	}
 }
 
@@ -114,8 +114,8 @@
 // Stats returns the counters of all links.
 func (l *Links) Stats() *Stats { return &l.stats }
 
-// Set sets the peers to which links are maintained.
-func (l *Links) Set(peers []core.PeerAddress) {
+// SetPeers sets the peers to which links are maintained.
+func (l *Links) SetPeers(peers []core.PeerAddress) {
 	wanted := make(map[string]string, len(peers))
 	for _, p := range peers {
 		wanted[p.Name] = p.Address
@@ -152,7 +152,7 @@
 		if seed == l.cfg.Listener.Addr().String() {
 			continue
 		}
-		group.Go(func() error { return l.hold(ctx, "", seed) })
+		group.Go(func() error { return l.keepConnected(ctx, "", seed) })
 	}
 	group.Go(func() error { return l.reconcile(ctx, group) })
 	err := group.Wait()
@@ -162,15 +162,15 @@
 	return err
 }
 
-// holder is the goroutine that keeps one peer connected.
-type holder struct {
+// connector is the goroutine that keeps one peer connected.
+type connector struct {
 	address string
 	cancel  context.CancelFunc
 }
 
 // reconcile starts and stops one goroutine per peer as the set of peers changes.
 func (l *Links) reconcile(ctx context.Context, group *errgroup.Group) error {
-	connectors := make(map[string]holder)
+	connectors := make(map[string]connector)
 	for {
 		wanted := l.wantedPeers()
 		for name, c := range connectors {
@@ -184,8 +184,8 @@
 				continue
 			}
 			ctx, cancel := context.WithCancel(ctx)
-			connectors[name] = holder{address: address, cancel: cancel}
-			group.Go(func() error { return l.hold(ctx, name, address) })
+			connectors[name] = connector{address: address, cancel: cancel}
+			group.Go(func() error { return l.keepConnected(ctx, name, address) })
 		}
 		select {
 		case <-ctx.Done():
@@ -204,7 +204,7 @@
 	return l.wanted
 }
 
-// hold keeps a link to the peer at address until ctx is done. It retries with jittered
+// keepConnected keeps a link to the peer at address until ctx is done. It retries with jittered
 // exponential backoff, so that the instances don't all dial a recovered zone at once.
 //
 // The instance with the lesser name of a pair dials, so that the pair has one link and sends
@@ -213,16 +213,16 @@
 // name is not known, is dialed only while there is no link at all: a new link to a peer replaces
 // the existing one, and two goroutines that dial the same peer would replace each other's links
 // without end.
-func (l *Links) hold(ctx context.Context, name, address string) error {
+func (l *Links) keepConnected(ctx context.Context, name, address string) error {
 	backoff := minBackoff
 	for {
 		if name != "" && name < l.cfg.Name {
-			if !sleep(ctx, l.cfg.DialWait) {
+			if !sleep(ctx, l.cfg.DialDelay) {
 				return nil
 			}
 		}
-		if l.served(name) {
-			if !sleep(ctx, servedPause) {
+		if l.hasLink(name) {
+			if !sleep(ctx, linkCheckInterval) {
 				return nil
 			}
 			continue
@@ -243,9 +243,9 @@
 	}
 }
 
-// served reports whether the peer has a link. For a seed, which has no name, it reports whether
+// hasLink reports whether the peer has a link. For a seed, which has no name, it reports whether
 // any peer has a link.
-func (l *Links) served(name string) bool {
+func (l *Links) hasLink(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if name == "" {
@@ -272,7 +272,7 @@
 	if err != nil {
 		return err
 	}
-	return l.run(ctx, conn, name, true)
+	return l.serveConn(ctx, conn, name, true)
 }
 
 func (l *Links) accept(ctx context.Context, group *errgroup.Group) error {
@@ -288,14 +288,14 @@
 			continue
 		}
 		select {
-		case l.strangers <- struct{}{}:
+		case l.pendingHandshakes <- struct{}{}:
 		default:
-			l.stats.stranger()
+			l.stats.rejected()
 			_ = conn.Close()
 			continue
 		}
 		group.Go(func() error {
-			if err := l.run(ctx, conn, "", false); err != nil {
+			if err := l.serveConn(ctx, conn, "", false); err != nil {
 				klog.V(1).InfoS("peer link closed", "remote", conn.RemoteAddr().String(), "error", err)
 			}
 			return nil
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// YamuxHeader is the size in bytes of the header of a yamux frame (yamux specification,
+// YamuxHeaderSize is the size in bytes of the header of a yamux frame (yamux specification,
 // "Framing").
-const YamuxHeader = 12
+const YamuxHeaderSize = 12
 
 // Count is the traffic of one kind in one direction.
 type Count struct {
@@ -88,10 +88,10 @@
 	drops         [kinds]atomic.Uint64
 	wireIn        atomic.Uint64
 	wireOut       atomic.Uint64
-	strangers     atomic.Uint64
+	rejectedConns atomic.Uint64
 	badFrames     atomic.Uint64
-	framesByteIn  atomic.Uint64
-	framesByteOut atomic.Uint64
+	frameBytesIn  atomic.Uint64
+	frameBytesOut atomic.Uint64
 }
 
 // Snapshot holds the counters at one point in time.
@@ -99,9 +99,9 @@
 	In, Out map[Kind]Count
 	// Dropped counts messages dropped because the peer had no link or its queue was full.
 	Dropped map[Kind]uint64
-	// Strangers counts connections that were closed because they sent no valid hello, came from
+	// RejectedConns counts connections that were closed because they sent no valid hello, came from
 	// another fleet, or exceeded the limit on connections without a completed handshake.
-	Strangers uint64
+	RejectedConns uint64
 	// BadFrames counts links closed because of an invalid frame.
 	BadFrames uint64
 }
@@ -110,21 +110,21 @@
 func (s *Stats) Snapshot() Snapshot {
 	out := Snapshot{
 		In: make(map[Kind]Count), Out: make(map[Kind]Count), Dropped: make(map[Kind]uint64),
-		Strangers: s.strangers.Load(), BadFrames: s.badFrames.Load(),
+		RejectedConns: s.rejectedConns.Load(), BadFrames: s.badFrames.Load(),
 	}
 	for k := range LinkOverhead {
 		out.In[k] = s.in[k].load()
 		out.Out[k] = s.out[k].load()
 		out.Dropped[k] = s.drops[k].Load()
 	}
-	out.In[LinkOverhead] = Count{Bytes: rest(&s.wireIn, &s.framesByteIn)}
-	out.Out[LinkOverhead] = Count{Bytes: rest(&s.wireOut, &s.framesByteOut)}
+	out.In[LinkOverhead] = Count{Bytes: overheadBytes(&s.wireIn, &s.frameBytesIn)}
+	out.Out[LinkOverhead] = Count{Bytes: overheadBytes(&s.wireOut, &s.frameBytesOut)}
 	return out
 }
 
-// rest returns the number of bytes on the connections that belong to no message. It is at
+// overheadBytes returns the number of bytes on the connections that belong to no message. It is at
 // least 0: a frame may be counted shortly before or after its bytes.
-func rest(wire, frames *atomic.Uint64) uint64 {
+func overheadBytes(wire, frames *atomic.Uint64) uint64 {
 	f := frames.Load()
 	w := wire.Load()
 	return w - min(w, f)
@@ -133,21 +133,21 @@
 func (s *Stats) received(k Kind, frame int) {
 	n := WireSize(frame)
 	s.in[k].add(n)
-	s.framesByteIn.Add(uint64(n))
+	s.frameBytesIn.Add(uint64(n))
 }
 
 func (s *Stats) sent(k Kind, frameWithLength int) {
-	n := frameWithLength + YamuxHeader
+	n := frameWithLength + YamuxHeaderSize
 	s.out[k].add(n)
-	s.framesByteOut.Add(uint64(n))
+	s.frameBytesOut.Add(uint64(n))
 }
 
 func (s *Stats) dropped(k Kind) {
 	s.drops[k].Add(1)
 }
 
-func (s *Stats) stranger() {
-	s.strangers.Add(1)
+func (s *Stats) rejected() {
+	s.rejectedConns.Add(1)
 }
 
 func (s *Stats) badFrame() {
@@ -156,7 +156,7 @@
 
 // WireSize returns the number of bytes on the connection for a frame of the given size.
 func WireSize(frame int) int {
-	return YamuxHeader + len(binary.AppendUvarint(nil, uint64(frame))) + frame
+	return YamuxHeaderSize + len(binary.AppendUvarint(nil, uint64(frame))) + frame
 }
 
 // countingConn counts the bytes read from and written to a connection.
