--- a/internal/proxy/answerbody.go
+++ b/internal/proxy/answerbody.go
@@ -11,48 +11,48 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// fill completes the first read of the response body: it records the time to first
+// completeFirstRead completes the first read of the response body: it records the time to first
 // byte, or reports the attempt as broken if err is set.
-func (r *answer) fill(err error) bool {
+func (r *callerResponse) completeFirstRead(err error) bool {
 	if err != nil {
-		r.lost(retry.Broken, r.resumePoint(), err)
+		r.abortAttempt(retry.Broken, r.resumeEventID(), err)
 		return false
 	}
-	r.first = time.Since(r.exchange.begun)
+	r.timeToFirstByte = time.Since(r.exchange.startedAt)
 	return true
 }
 
-// firstEvent waits for the first event with data. It drops comments before that
+// readFirstEvent waits for the first event with data. It drops comments before that
 // event: nothing is sent to the caller while another attempt is still possible.
-func (r *answer) firstEvent() error {
+func (r *callerResponse) readFirstEvent() error {
 	for {
-		e, err := r.nextEvent()
+		e, err := r.readNewEvent()
 		if errors.Is(err, io.EOF) {
-			r.wholeNow()
+			r.markComplete()
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		if e.data {
-			r.take(e)
+			r.setPending(e)
 			return nil
 		}
 	}
 }
 
-// nextEvent reads the next event that has not been received before. If the HTTP
+// readNewEvent reads the next event that has not been received before. If the HTTP
 // framing marks the end of the stream, it returns io.EOF there.
-func (r *answer) nextEvent() (streamEvent, error) {
+func (r *callerResponse) readNewEvent() (streamEvent, error) {
 	for {
 		e, err := r.events.next()
-		if errors.Is(err, io.EOF) && (r.head.Marked || r.events.partial()) {
+		if errors.Is(err, io.EOF) && (r.head.EndMarked || r.events.partial()) {
 			return e, errNoEndMark
 		}
 		if err != nil {
 			return e, err
 		}
-		fresh, err := r.sequence.check(e, r.head.Marked)
+		fresh, err := r.sequence.accept(e, r.head.EndMarked)
 		if err != nil {
 			return e, err
 		}
@@ -62,77 +62,77 @@
 	}
 }
 
-// take makes the event's text pending and checks for the end mark.
-func (r *answer) take(e streamEvent) {
+// setPending makes the event's text pending and checks for the end mark.
+func (r *callerResponse) setPending(e streamEvent) {
 	r.pending = e.text
-	if e.end && r.head.Marked {
-		r.wholeNow()
+	if e.end && r.head.EndMarked {
+		r.markComplete()
 	}
 }
 
-// firstBytes reads a small response whole, or the first bytes of a large one.
-func (r *answer) firstBytes() error {
+// readFirstBytes reads a small response whole, or the first bytes of a large one.
+func (r *callerResponse) readFirstBytes() error {
 	length := r.resp.Header.ContentLength()
-	if length >= 0 && length <= wholeBody && r.resp.BodyStream() != nil {
+	if length >= 0 && length <= maxBufferedBody && r.resp.BodyStream() != nil {
 		body := make([]byte, length)
 		if _, err := io.ReadFull(r.call, body); err != nil {
 			return fmt.Errorf("proxy: truncated response: %w", err)
 		}
 		r.pending = body
-		r.wholeNow()
+		r.markComplete()
 		return nil
 	}
-	if r.head.Whole && length < 0 {
-		return r.wholeBody()
+	if r.head.BufferBody && length < 0 {
+		return r.bufferBody()
 	}
-	r.buffer = make([]byte, copyBuffer)
-	return r.copyBytes()
+	r.buffer = make([]byte, readBufferSize)
+	return r.readChunk()
 }
 
-// wholeBody reads a body of unknown length to its end, or up to the size limit. A
+// bufferBody reads a body of unknown length to its end, or up to the size limit. A
 // larger body is forwarded as it arrives.
-func (r *answer) wholeBody() error {
-	body, err := io.ReadAll(io.LimitReader(r.call, wholeBody))
+func (r *callerResponse) bufferBody() error {
+	body, err := io.ReadAll(io.LimitReader(r.call, maxBufferedBody))
 	if err != nil {
 		return fmt.Errorf("proxy: truncated response: %w", err)
 	}
 	r.pending = body
-	if len(body) < wholeBody {
-		r.wholeNow()
+	if len(body) < maxBufferedBody {
+		r.markComplete()
 	}
-	r.buffer = make([]byte, copyBuffer)
+	r.buffer = make([]byte, readBufferSize)
 	return nil
 }
 
-func (r *answer) copyBytes() error {
+func (r *callerResponse) readChunk() error {
 	n, err := r.call.Read(r.buffer)
 	r.pending = r.buffer[:n]
 	if errors.Is(err, io.EOF) {
-		r.wholeNow()
+		r.markComplete()
 		return nil
 	}
 	return err
 }
 
-// wholeNow marks the response as complete and reports it.
-func (r *answer) wholeNow() {
-	r.whole = true
-	r.end(core.AttemptEnded{Outcome: retry.Answered}, nil)
+// markComplete marks the response as complete and reports it.
+func (r *callerResponse) markComplete() {
+	r.complete = true
+	r.reportEnd(core.AttemptEnded{Outcome: retry.Answered}, nil)
 }
 
 // Read returns the next bytes for the caller to the HTTP library. After an error the
 // library omits the final chunk, so that a caller can tell a broken response from a
 // whole one.
-func (r *answer) Read(p []byte) (int, error) {
+func (r *callerResponse) Read(p []byte) (int, error) {
 	for len(r.pending) == 0 {
 		switch {
-		case r.failed != nil:
-			return 0, r.failed
-		case r.whole:
+		case r.bodyErr != nil:
+			return 0, r.bodyErr
+		case r.complete:
 			return 0, io.EOF
 		}
-		if err := r.advance(); err != nil {
-			r.broken(err)
+		if err := r.readMore(); err != nil {
+			r.handleBreak(err)
 		}
 	}
 	n := copy(p, r.pending)
@@ -141,62 +141,62 @@
 	return n, nil
 }
 
-// advance reads the next event or the next bytes into pending.
-func (r *answer) advance() error {
+// readMore reads the next event or the next bytes into pending.
+func (r *callerResponse) readMore() error {
 	if r.events == nil {
-		return r.copyBytes()
+		return r.readChunk()
 	}
-	e, err := r.nextEvent()
+	e, err := r.readNewEvent()
 	if errors.Is(err, io.EOF) {
-		r.wholeNow()
+		r.markComplete()
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	r.take(e)
+	r.setPending(e)
 	return nil
 }
 
-// broken reports that the response was cut after it had started, and executes the
+// handleBreak reports that the response was cut after it had started, and executes the
 // effects that the core returns: either the same stream is resumed, or the response
 // ends with an error.
-func (r *answer) broken(err error) {
-	r.lost(retry.Broken, r.resumePoint(), err)
+func (r *callerResponse) handleBreak(err error) {
+	r.abortAttempt(retry.Broken, r.resumeEventID(), err)
 	for effect := range r.exchange.effects {
 		switch e := effect.(type) {
 		case core.SendAttempt:
-			if r.open(e) {
+			if r.openAttempt(e) {
 				return
 			}
 		case core.Finish:
-			r.fail(e)
+			r.endWithError(e)
 			return
 		}
 	}
 }
 
-// resumePoint returns the event number after which the stream can be resumed, or ""
+// resumeEventID returns the event number after which the stream can be resumed, or ""
 // if it cannot. A stream with an end mark needs a stream ID; a stream without one can
 // be resumed if its events are numbered.
-func (r *answer) resumePoint() string {
+func (r *callerResponse) resumeEventID() string {
 	if r.events == nil {
 		return ""
 	}
-	if r.head.Marked && r.stream.id == "" || !r.head.Marked && r.sequence.last == 0 {
+	if r.head.EndMarked && r.stream.id == "" || !r.head.EndMarked && r.sequence.last == 0 {
 		return ""
 	}
 	return strconv.FormatUint(r.sequence.last, 10)
 }
 
-// readEnd reads the end of the HTTP framing after the end of the response, so that
+// readFramingEnd reads the end of the HTTP framing after the end of the response, so that
 // the connection can be reused. It reports whether the framing ended there.
-func (r *answer) readEnd() bool {
+func (r *callerResponse) readFramingEnd() bool {
 	if r.events == nil {
 		return true
 	}
-	r.call.deadline = time.Now().Add(endWait)
+	r.call.deadline = time.Now().Add(framingEndTimeout)
 	var b [1]byte
-	n, err := r.events.in.Read(b[:])
+	n, err := r.events.reader.Read(b[:])
 	return n == 0 && errors.Is(err, io.EOF)
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -34,21 +34,21 @@
 }
 
 // rawBackend is a backend server that counts the requests it has read and passes each
-// to a rawServe function. It closes the connection if the function returns false.
+// to a rawHandler. It closes the connection if the handler returns false.
 type rawBackend struct {
 	listener net.Listener
 	address  string
-	// seen counts the requests that it read.
-	seen atomic.Int64
+	// requests counts the requests that it read.
+	requests atomic.Int64
 	// closed counts the connections that it closed.
 	closed atomic.Int64
 }
 
-// rawServe writes the response to the nth request and reports whether to keep the
+// rawHandler writes the response to the nth request and reports whether to keep the
 // connection open.
-type rawServe func(nth int, r *http.Request, conn net.Conn) (keep bool)
+type rawHandler func(nth int, r *http.Request, conn net.Conn) (keep bool)
 
-func startRaw(t testing.TB, serve rawServe) *rawBackend {
+func startRawBackend(t testing.TB, serve rawHandler) *rawBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	return b
 }
 
-func (b *rawBackend) serve(conn net.Conn, serve rawServe) {
+func (b *rawBackend) serve(conn net.Conn, serve rawHandler) {
 	defer func() {
 		_ = conn.Close()
 		b.closed.Add(1)
@@ -78,31 +78,31 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		if !serve(int(b.seen.Add(1)), r, conn) {
+		if !serve(int(b.requests.Add(1)), r, conn) {
 			return
 		}
 	}
 }
 
-func answerOK(conn net.Conn, body string) {
+func respondOK(conn net.Conn, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // Guards against a request that runs twice because the HTTP library resends it after
 // the server has read it and closed the connection without a response. A request of any
 // method, on a new or a reused connection, must reach the server exactly once.
-func TestNothingIsSentTwice(t *testing.T) {
+func TestRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE", "OPTIONS"} {
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s kept=%v", method, kept), func(t *testing.T) {
-				b := startRaw(t, func(nth int, _ *http.Request, conn net.Conn) bool {
+				b := startRawBackend(t, func(nth int, _ *http.Request, conn net.Conn) bool {
 					if kept && nth == 1 {
-						answerOK(conn, "first")
+						respondOK(conn, "first")
 						return true
 					}
 					return false
 				})
-				cfg := fleetText(nil, []string{b.address})
+				cfg := fleetConfig(nil, []string{b.address})
 				cfg.Services[0].MaxAttempts = 1
 				i := startInstance(t, cfg, proxy.Options{})
 				want := 1
@@ -113,7 +113,7 @@
 				got := send(t, newCall(t, method, i.url+"/services/portal/x", "", nil))
 				require.Equal(t, http.StatusBadGateway, got.status)
 				require.Equal(t, string(reason.Unknown), got.header.Get(proxy.HeaderOutcome))
-				require.EqualValues(t, want, b.seen.Load())
+				require.EqualValues(t, want, b.requests.Load())
 			})
 		}
 	}
@@ -122,33 +122,33 @@
 // Guards against a request that fails or gets an unknown outcome because the server had
 // already closed a pooled connection. The close must be detected before reuse, so that
 // one attempt suffices.
-func TestStaleConnectionIsNotUsed(t *testing.T) {
-	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
-		answerOK(conn, "answer")
+func TestClosedPooledConnectionIsNotReused(t *testing.T) {
+	b := startRawBackend(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+		respondOK(conn, "answer")
 		return false
 	})
-	cfg := fleetText(nil, []string{b.address})
+	cfg := fleetConfig(nil, []string{b.address})
 	cfg.Services[0].MaxAttempts = 1
 	i := startInstance(t, cfg, proxy.Options{})
 	for n := range 20 {
 		got := send(t, newCall(t, "GET", i.url+"/services/portal/x", "", nil))
 		require.Equal(t, "answer", got.body)
-		require.Eventually(t, func() bool { return b.closed.Load() == int64(n+1) }, waitFor, poll)
+		require.Eventually(t, func() bool { return b.closed.Load() == int64(n+1) }, waitTimeout, pollInterval)
 	}
 }
 
 // Guards against a late response that is taken for the response to the next request on
 // the same connection, which would show a caller another customer's data. After a
 // request's deadline has passed, its connection must be closed and not reused.
-func TestLateAnswerReachesNobodyElse(t *testing.T) {
-	b := startRaw(t, func(nth int, r *http.Request, conn net.Conn) bool {
+func TestLateResponseIsNotReadByNextRequest(t *testing.T) {
+	b := startRawBackend(t, func(nth int, r *http.Request, conn net.Conn) bool {
 		if nth%2 == 1 {
 			time.Sleep(600 * time.Millisecond)
 		}
-		answerOK(conn, r.URL.Path)
+		respondOK(conn, r.URL.Path)
 		return true
 	})
-	i := startInstance(t, fleetText(nil, []string{b.address}), proxy.Options{})
+	i := startInstance(t, fleetConfig(nil, []string{b.address}), proxy.Options{})
 	for n := range 3 {
 		late := send(t, newCall(t, "GET", fmt.Sprintf("%s/services/portal/late-%d", i.url, n), "",
 			headers{proxy.HeaderDeadline: "300"}))
@@ -162,7 +162,7 @@
 // Checks the outcome that a caller receives if an attempt fails before any byte of the
 // response is sent to it. Whether the request may have run decides between another
 // attempt, "not-run" and "unknown".
-func TestOutcomes(t *testing.T) {
+func TestOutcomeOfFailedAttempt(t *testing.T) {
 	const yes, no = "", "false"
 	tests := []struct {
 		name       string
@@ -176,15 +176,15 @@
 		{"refused once", no, engine.Fault{Kind: engine.Refuse}, 200, reason.Answered, reason.None, 1},
 		{"refused always", no, engine.Fault{Kind: engine.Refuse, Times: 9}, 503, reason.NotRun, reason.AttemptsExhausted, 0},
 		{"bare 503", no, engine.Fault{Kind: engine.Busy}, 503, reason.Answered, reason.None, 0},
-		{"swallowed, idempotent", yes, engine.Fault{Kind: engine.Swallow}, 200, reason.Answered, reason.None, 1},
-		{"swallowed, not idempotent", no, engine.Fault{Kind: engine.Swallow}, 502, reason.Unknown, reason.BackendLost, 1},
+		{"swallowed, idempotent", yes, engine.Fault{Kind: engine.NoResponse}, 200, reason.Answered, reason.None, 1},
+		{"swallowed, not idempotent", no, engine.Fault{Kind: engine.NoResponse}, 502, reason.Unknown, reason.BackendLost, 1},
 		{"cut body, idempotent", yes, engine.Fault{Kind: engine.Cut, After: 5}, 200, reason.Answered, reason.None, 1},
 		{"cut body, not idempotent", no, engine.Fault{Kind: engine.Cut, After: 5}, 502, reason.Unknown, reason.BrokenStream, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			engines, addresses := startEngines(t, 1, time.Millisecond)
-			i := startInstance(t, fleetText(addresses, nil), proxy.Options{})
+			i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{})
 			engines[0].SetFault(tt.fault)
 			got := send(t, newChat(t, i.url, false, headers{proxy.HeaderIdempotent: tt.idempotent}))
 			require.Equal(t, tt.status, got.status, got.body)
@@ -203,12 +203,12 @@
 
 // A refused dial has sent nothing, so even a request that is not idempotent is reported
 // as not run.
-func TestUnreachableIsNotRun(t *testing.T) {
+func TestRefusedDialIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
 	require.NoError(t, l.Close())
-	cfg := fleetText([]string{address}, nil)
+	cfg := fleetConfig([]string{address}, nil)
 	cfg.Services[0].MaxAttempts = 1
 	i := startInstance(t, cfg, proxy.Options{})
 	got := send(t, newChat(t, i.url, true, headers{proxy.HeaderIdempotent: "false"}))
@@ -220,12 +220,12 @@
 
 // A response that ends when its connection closes could be truncated unnoticed, so it
 // must not be passed to the caller as a whole response.
-func TestAnswerFramedByCloseIsBroken(t *testing.T) {
-	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+func TestResponseFramedByCloseIsBroken(t *testing.T) {
+	b := startRawBackend(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 100_000))
 		return false
 	})
-	i := startInstance(t, fleetText(nil, []string{b.address}), proxy.Options{})
+	i := startInstance(t, fleetConfig(nil, []string{b.address}), proxy.Options{})
 	got := send(t, newCall(t, "GET", i.url+"/services/portal/x", "", nil))
 	require.ErrorContains(t, got.err, "unexpected EOF")
 }
@@ -234,8 +234,8 @@
 // requests whose responses are late, out of order, truncated or past their deadlines,
 // over connections that are closed and reused. Each whole response must belong to its
 // own request.
-func TestEveryCallerGetsItsOwnAnswer(t *testing.T) {
-	b := startRaw(t, func(nth int, r *http.Request, conn net.Conn) bool {
+func TestConcurrentCallersReceiveOwnResponses(t *testing.T) {
+	b := startRawBackend(t, func(nth int, r *http.Request, conn net.Conn) bool {
 		time.Sleep(time.Duration(nth*7%13) * 4 * time.Millisecond)
 		switch nth % 11 {
 		case 3:
@@ -247,11 +247,11 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ncut\r\n")
 			return false
 		default:
-			answerOK(conn, r.Header.Get(proxy.HeaderRequestID)+" "+r.URL.Path)
+			respondOK(conn, r.Header.Get(proxy.HeaderRequestID)+" "+r.URL.Path)
 			return true
 		}
 	})
-	i := startInstance(t, fleetText(nil, []string{b.address}), proxy.Options{})
+	i := startInstance(t, fleetConfig(nil, []string{b.address}), proxy.Options{})
 	const callers, each = 200, 10
 	var whole, failed atomic.Int64
 	var group errgroup.Group
--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -16,25 +16,25 @@
 	written atomic.Int64
 	now     func() time.Time
 	// zone records when bytes arrive from the server's zone.
-	zone *zoneContact
+	zone *zoneActivity
 	// idleSince is the time at which the connection was last returned to the pool.
 	idleSince time.Time
-	// keep is the idle timeout that the server announced, or 0 if it announced none;
-	// unstatedKeep applies in that case.
-	keep, unstatedKeep time.Duration
+	// keepAlive is the idle timeout that the server announced, or 0 if it announced none;
+	// defaultKeepAlive applies in that case.
+	keepAlive, defaultKeepAlive time.Duration
 }
 
 // Read reads from the backend server and records that its zone is reachable.
 func (c *backendConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && c.zone != nil {
-		c.zone.heardAt(c.now())
+		c.zone.recordRead(c.now())
 	}
 	return n, err
 }
 
-// kept reports whether the connection has carried a request before.
-func (c *backendConn) kept() bool { return c.written.Load() > 0 }
+// reused reports whether the connection has carried a request before.
+func (c *backendConn) reused() bool { return c.written.Load() > 0 }
 
 // Write sends p and counts the bytes that the kernel accepted.
 func (c *backendConn) Write(p []byte) (int, error) {
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -12,32 +12,32 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/reason"
 )
 
-// past is a deadline that makes a blocked read or write return at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that makes a blocked read or write return at once.
+var pastDeadline = time.Unix(1, 0)
 
 const (
-	// lingerTime is how long a connection waits for the caller to close its end, so
+	// lingerTimeout is how long a connection waits for the caller to close its end, so
 	// that a reset does not discard the notice or response.
-	lingerTime = 2 * time.Second
-	// readAhead is the number of bytes of the next request that may be read while the
+	lingerTimeout = 2 * time.Second
+	// maxReadAhead is the number of bytes of the next request that may be read while the
 	// current request is processed.
-	readAhead = 4096
+	maxReadAhead = 4096
 )
 
-const overloadNotice = "HTTP/1.1 503 Service Unavailable\r\n" +
+const overloadResponse = "HTTP/1.1 503 Service Unavailable\r\n" +
 	"Connection: close\r\nContent-Length: 0\r\n" +
 	HeaderOutcome + ": not-run\r\n" + HeaderReason + ": overloaded\r\nRetry-After: 1\r\n\r\n"
 
 // callerConn is a connection from a caller.
 //
 // The HTTP library does not read from a connection while it processes a request, so
-// it detects that the caller disconnected only at its next write. watch reads from
-// the connection meanwhile; Read then returns these bytes to the library.
+// it detects that the caller disconnected only at its next write. watchClose reads
+// from the connection meanwhile; Read then returns these bytes to the library.
 type callerConn struct {
 	net.Conn
 	server *Server
-	// ahead holds bytes that watch has read.
-	ahead []byte
+	// readAhead holds bytes that watchClose has read.
+	readAhead []byte
 
 	mu sync.Mutex
 	// idleSince is zero while a request is read or processed.
@@ -51,35 +51,35 @@
 	unread bool
 }
 
-// Read returns bytes that watch has read, or reads from the connection. If the
+// Read returns bytes that watchClose has read, or reads from the connection. If the
 // connection is retired and no request has arrived, it ends the connection.
 func (c *callerConn) Read(p []byte) (int, error) {
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
-		c.busy()
+	if len(c.readAhead) > 0 {
+		n := copy(p, c.readAhead)
+		c.readAhead = c.readAhead[n:]
+		c.markBusy()
 		return n, nil
 	}
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.busy()
+		c.markBusy()
 		return n, err
 	}
 	if isTimeout(err) && c.isRetired() {
-		if n := c.lastRead(p); n > 0 {
-			c.busy()
+		if n := c.readAvailable(p); n > 0 {
+			c.markBusy()
 			return n, nil
 		}
-		c.leave()
+		c.sendRetireNotice()
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// lastRead reads the bytes that have arrived on a retired connection, without blocking.
+// readAvailable reads the bytes that have arrived on a retired connection, without blocking.
 // After the read deadline has passed, an ordinary read returns no data: on a busy
 // machine a request may have arrived unread while the connection seems idle.
-func (c *callerConn) lastRead(p []byte) int {
+func (c *callerConn) readAvailable(p []byte) int {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -145,16 +145,16 @@
 	return c.Conn.Close()
 }
 
-// leaveUnread records that the rest of the caller's request will not be read.
-func (c *callerConn) leaveUnread() {
+// markUnread records that the rest of the caller's request will not be read.
+func (c *callerConn) markUnread() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unread = true
 }
 
-// busy records that a request is arriving, and revokes a retirement: a request that
+// markBusy records that a request is arriving, and revokes a retirement: a request that
 // began to arrive before the connection was closed is served.
-func (c *callerConn) busy() {
+func (c *callerConn) markBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleSince = time.Time{}
@@ -164,8 +164,8 @@
 	}
 }
 
-// rest records that the connection is idle.
-func (c *callerConn) rest() {
+// markIdle records that the connection is idle.
+func (c *callerConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleSince = time.Now()
@@ -180,7 +180,7 @@
 		return
 	}
 	c.retired = true
-	_ = c.Conn.SetReadDeadline(past)
+	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
 func (c *callerConn) isRetired() bool {
@@ -189,15 +189,15 @@
 	return c.retired
 }
 
-// leave sends the dialect's notice, if there is one, before an idle connection is
+// sendRetireNotice sends the dialect's notice, if there is one, before an idle connection is
 // closed. A request may be in flight at this moment; the notice states correctly that
 // it did not run.
-func (c *callerConn) leave() {
+func (c *callerConn) sendRetireNotice() {
 	notice := c.server.options.Dialect.RetireNotice()
 	if len(notice) == 0 {
 		return
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(lingerTime))
+	_ = c.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	if _, err := c.Conn.Write(notice); err == nil {
 		c.linger()
 	}
@@ -211,22 +211,22 @@
 	if !ok {
 		return
 	}
-	_ = tcp.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
 	if err := tcp.CloseWrite(); err == nil {
 		_, _ = io.Copy(io.Discard, tcp)
 	}
 }
 
-// watch calls gone if the caller closes the connection before stop is called.
-func (c *callerConn) watch(gone func()) (stop func()) {
+// watchClose calls gone if the caller closes the connection before stop is called.
+func (c *callerConn) watchClose(gone func()) (stop func()) {
 	done := make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
 		defer close(done)
 		var b [512]byte
-		for len(c.ahead) < readAhead {
+		for len(c.readAhead) < maxReadAhead {
 			n, err := c.Conn.Read(b[:])
-			c.ahead = append(c.ahead, b[:n]...)
+			c.readAhead = append(c.readAhead, b[:n]...)
 			if err != nil {
 				if !isTimeout(err) && !errors.Is(err, net.ErrClosed) {
 					gone()
@@ -236,7 +236,7 @@
 		}
 	}()
 	return func() {
-		_ = c.Conn.SetReadDeadline(past)
+		_ = c.Conn.SetReadDeadline(pastDeadline)
 		<-done
 		_ = c.SetReadDeadline(time.Time{})
 	}
@@ -258,19 +258,19 @@
 			return nil, err
 		}
 		c := &callerConn{Conn: conn, server: l.server}
-		c.rest()
+		c.markIdle()
 		if l.server.connOpened(c) {
 			return c, nil
 		}
-		l.server.record(&core.Finish{Outcome: reason.NotRun, Reason: reason.Overloaded}, "")
-		go c.turnAway()
+		l.server.recordFinish(&core.Finish{Outcome: reason.NotRun, Reason: reason.Overloaded}, "")
+		go c.refuseOverloaded()
 	}
 }
 
-// turnAway sends the overload response and closes the connection.
-func (c *callerConn) turnAway() {
-	_ = c.SetWriteDeadline(time.Now().Add(lingerTime))
-	if _, err := c.Conn.Write([]byte(overloadNotice)); err == nil {
+// refuseOverloaded sends the overload response and closes the connection.
+func (c *callerConn) refuseOverloaded() {
+	_ = c.SetWriteDeadline(time.Now().Add(lingerTimeout))
+	if _, err := c.Conn.Write([]byte(overloadResponse)); err == nil {
 		c.linger()
 	}
 	_ = c.Conn.Close()
--- a/internal/proxy/caller_test.go
+++ b/internal/proxy/caller_test.go
@@ -27,11 +27,11 @@
 
 // Guards against a stopping instance that refuses a request which has already arrived: on
 // a busy machine the request is not read yet, and the connection seems to be idle.
-func TestARequestThatHasArrivedIsReadBeforeItsConnectionRetires(t *testing.T) {
+func TestRetiringConnectionReadsArrivedRequest(t *testing.T) {
 	const request = "POST /v1/chat/completions HTTP/1.1\r\n"
 	caller, instance := connPair(t)
 	c := &callerConn{Conn: instance, server: &Server{options: Options{Dialect: Native{}}}}
-	c.rest()
+	c.markIdle()
 	_, err := caller.Write([]byte(request))
 	require.NoError(t, err)
 	c.retire(time.Now())
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -44,9 +44,9 @@
 	CallerID string
 	// Target is the path and query for the backend server, as the caller sent them.
 	Target string
-	// Since is the number of the last event that the caller received of an earlier,
+	// LastEventID is the number of the last event that the caller received of an earlier,
 	// broken response.
-	Since uint64
+	LastEventID uint64
 	// stream is set if a chat requests server-sent events.
 	stream bool
 }
@@ -61,9 +61,9 @@
 
 // Rejection describes why a request was rejected and how to respond to its caller.
 type Rejection struct {
-	Status int
-	Why    reason.Reason
-	Text   string
+	Status  int
+	Reason  reason.Reason
+	Message string
 }
 
 // Verdict classifies the response of a backend server by its header.
@@ -77,8 +77,8 @@
 	NotStarted
 	// Failure responses come from the backend server and report that it failed.
 	Failure
-	// Foreign responses are not the backend server's response to this request.
-	Foreign
+	// Mismatched responses are not the backend server's response to this request.
+	Mismatched
 )
 
 // Head is the header of a backend server's response as interpreted by a dialect.
@@ -91,15 +91,15 @@
 	RetryAfter time.Duration
 	// Events is set if the body is a stream of server-sent events.
 	Events bool
-	// Marked is set if an event marks the end of the stream; otherwise the HTTP framing
+	// EndMarked is set if an event marks the end of the stream; otherwise the HTTP framing
 	// marks it.
-	Marked bool
+	EndMarked bool
 	// StreamID and Incarnation identify a stream that can be resumed at its engine.
 	StreamID, Incarnation string
-	// Whole is set if a body of moderate size is buffered to its end before any of it is
+	// BufferBody is set if a body of moderate size is buffered to its end before any of it is
 	// sent to the caller, so that a truncated response can still be retried.
-	Whole bool
-	// Unframed is set if an orderly close of the connection ends a body without a
+	BufferBody bool
+	// AllowUnframed is set if an orderly close of the connection ends a body without a
 	// length; otherwise such a body is treated as truncated.
-	Unframed bool
+	AllowUnframed bool
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -18,13 +18,13 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/balancer"
 )
 
-// runLoad starts width workers of each kind and returns a function that stops them.
-func runLoad(t *testing.T, b *balancer.Balancer, width int) (stop func()) {
+// startLoad starts width workers of each kind and returns a function that stops them.
+func startLoad(t *testing.T, b *balancer.Balancer, width int) (stop func()) {
 	done := make(chan struct{})
 	var workers sync.WaitGroup
 	run := func(keep bool, pause time.Duration, stream bool) {
 		request := func() *http.Request { return newChat(t, "http://fleet", stream, nil) }
-		workers.Go(func() { b.Run(done, balancer.Worker{Request: request, Keep: keep, Pause: pause}) })
+		workers.Go(func() { b.Run(done, balancer.Worker{Request: request, KeepAlive: keep, Pause: pause}) })
 	}
 	for range width {
 		run(false, 0, false)
@@ -42,15 +42,15 @@
 // lost. A request may be refused only if its caller paused for longer than drainIdle.
 func requireNoLoss(t *testing.T, b *balancer.Balancer) {
 	t.Helper()
-	silences := b.Silences()
+	silences := b.IdleTimes()
 	t.Logf("whole %d, refused %d after silences of %v at most, lost %d %v",
-		b.Whole.Load(), b.Refused.Load(), silences, b.Lost.Load(), b.Losses())
+		b.Completed.Load(), b.Refused.Load(), silences, b.Lost.Load(), b.Losses())
 	require.Zero(t, b.Lost.Load(), "requests lost")
 	require.Len(t, silences, int(b.Refused.Load()), "requests refused by the stop, all of them known")
 	for _, silence := range silences {
 		require.Greater(t, silence, drainIdle, "a request refused by the stop")
 	}
-	require.NotZero(t, b.Whole.Load())
+	require.NotZero(t, b.Completed.Load())
 }
 
 const (
@@ -72,11 +72,11 @@
 }
 
 func (f *rollingFleet) start() {
-	i := startInstance(f.t, fleetText(f.engines, nil), proxy.Options{
+	i := startInstance(f.t, fleetConfig(f.engines, nil), proxy.Options{
 		DrainIdle:   drainIdle,
 		AcceptQuiet: 500 * time.Millisecond,
 	})
-	i.notReady = func() { time.AfterFunc(balancerLag, func() { f.balancer.Remove(i.address) }) }
+	i.onNotReady = func() { time.AfterFunc(balancerLag, func() { f.balancer.Remove(i.address) }) }
 	f.instances = append(f.instances, i)
 	f.balancer.Add(i.address)
 }
@@ -94,7 +94,7 @@
 	for _, i := range old {
 		select {
 		case <-i.stopped:
-		case <-time.After(waitFor):
+		case <-time.After(waitTimeout):
 			f.t.Error("an instance did not stop")
 		}
 	}
@@ -111,7 +111,7 @@
 	for range fleetSize {
 		f.start()
 	}
-	stop := runLoad(t, f.balancer, 4)
+	stop := startLoad(t, f.balancer, 4)
 	for _, n := range []int{1, 1, 1, 1, 2, 2} {
 		f.replace(n)
 	}
@@ -124,7 +124,7 @@
 func TestStopWaitsForStreams(t *testing.T) {
 	engines, addresses := startEngines(t, 1, 50*time.Millisecond)
 	engines[0].Tokens = 20
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{
 		DrainIdle: 300 * time.Millisecond, AcceptQuiet: 10 * time.Millisecond,
 	})
 	kept := dial(t, i.address)
@@ -134,7 +134,7 @@
 	require.True(t, again)
 	long := dial(t, i.address)
 	require.NoError(t, newChat(t, i.url, true, nil).Write(long))
-	require.Eventually(t, func() bool { return engines[0].Stats().InFlight == 1 }, waitFor, poll)
+	require.Eventually(t, func() bool { return engines[0].Stats().InFlight == 1 }, waitTimeout, pollInterval)
 	i.loop.Post(core.StopRequested{})
 	<-i.closed
 	_, err = net.Dial("tcp", i.address)
@@ -155,9 +155,9 @@
 // A stopping instance closes an idle connection at the moment at which the balancer sends
 // a request on it. The request cannot be served, but must receive a response with the
 // outcome "not-run", the reason "stopping" and a Retry-After.
-func TestRequestThatCrossesTheCloseIsTold(t *testing.T) {
+func TestRequestCrossingCloseReceivesNotice(t *testing.T) {
 	_, addresses := startEngines(t, 1, time.Millisecond)
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{
 		DrainIdle: 50 * time.Millisecond, AcceptQuiet: 10 * time.Millisecond,
 	})
 	conn := dial(t, i.address)
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// cancelQueue bounds the streams that wait for cancellation. If the queue is full,
+	// cancelQueueSize bounds the streams that wait for cancellation. If the queue is full,
 	// a cancellation is dropped and the engine eventually ends the stream itself.
-	cancelQueue = 256
-	cancelers   = 4
-	callTimeout = 2 * time.Second
-	maxReport   = 64 << 10
+	cancelQueueSize = 256
+	cancelWorkers   = 4
+	engineTimeout   = 2 * time.Second
+	maxReportSize   = 64 << 10
 )
 
 // engineClient sends engines the requests that are not part of a caller's request:
@@ -24,7 +24,7 @@
 type engineClient struct {
 	http  *fasthttp.Client
 	log   *logQueue
-	queue chan stream
+	queue chan streamRef
 }
 
 func newEngineClient(o Options, log *logQueue) *engineClient {
@@ -33,19 +33,19 @@
 			MaxIdemponentCallAttempts: 1,
 			NoDefaultUserAgentHeader:  true,
 			MaxIdleConnDuration:       o.BackendIdle,
-			MaxResponseBodySize:       maxReport,
+			MaxResponseBodySize:       maxReportSize,
 		},
 		log:   log,
-		queue: make(chan stream, cancelQueue),
+		queue: make(chan streamRef, cancelQueueSize),
 	}
-	for range cancelers {
+	for range cancelWorkers {
 		go c.run()
 	}
 	return c
 }
 
 // cancel queues the cancellation of a stream. It never blocks.
-func (c *engineClient) cancel(s stream) {
+func (c *engineClient) cancel(s streamRef) {
 	select {
 	case c.queue <- s:
 	default:
@@ -58,7 +58,7 @@
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.Header.SetMethod(fasthttp.MethodDelete)
 		req.SetRequestURI(streamURL(s))
-		if err := c.http.DoTimeout(req, resp, callTimeout); err != nil {
+		if err := c.http.DoTimeout(req, resp, engineTimeout); err != nil {
 			c.log.put("stream cancellation failed", "address", s.address, "stream", s.id, "error", err)
 		}
 		fasthttp.ReleaseRequest(req)
@@ -76,7 +76,7 @@
 // Report fetches the load report of a backend server.
 func (s *Server) Report(backend, address string) (membership.Report, error) {
 	report := membership.Report{Backend: backend, At: s.options.Now()}
-	status, body, err := s.engine.http.GetTimeout(nil, "http://"+address+"/load", callTimeout)
+	status, body, err := s.engine.http.GetTimeout(nil, "http://"+address+"/load", engineTimeout)
 	if err != nil {
 		return report, fmt.Errorf("proxy: load report of %s: %w", backend, err)
 	}
--- a/internal/proxy/engine_test.go
+++ b/internal/proxy/engine_test.go
@@ -16,9 +16,9 @@
 
 // The core receives an engine's load by polls and from the headers of each response. A
 // leaving engine refuses requests explicitly, and they run on another engine.
-func TestEngineAdapter(t *testing.T) {
+func TestEngineLoadReports(t *testing.T) {
 	engines, addresses := startEngines(t, 2, time.Millisecond)
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{})
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{})
 	for range 3 {
 		got := send(t, newChat(t, i.url, true, headers{proxy.HeaderPriority: "7"}))
 		require.NoError(t, got.err)
@@ -49,13 +49,13 @@
 }
 
 // An invalid load report must yield an error, not a load.
-func TestReportThatCannotBe(t *testing.T) {
+func TestInvalidLoadReport(t *testing.T) {
 	for _, body := range []string{"", "{", `{"in_flight":-1,"state":"live"}`, `{"in_flight":1,"state":"well"}`, `[]`} {
-		b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
-			answerOK(conn, body)
+		b := startRawBackend(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+			respondOK(conn, body)
 			return true
 		})
-		i := startInstance(t, fleetText([]string{b.address}, nil), proxy.Options{})
+		i := startInstance(t, fleetConfig([]string{b.address}, nil), proxy.Options{})
 		_, err := i.server.Report("engine-1", b.address)
 		require.Error(t, err, body)
 	}
@@ -63,10 +63,10 @@
 
 // Guards against unbounded memory use if an engine sends invalid load headers and an
 // endless event. The response must end with an error.
-func TestHostileEngine(t *testing.T) {
+func TestEndlessEventFromEngine(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n" +
 		"Engine-Load: -7\r\nEngine-Incarnation: x\r\nEngine-State: leaving\r\n\r\n"
-	b := startRaw(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+	b := startRawBackend(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, head+"fffffff\r\ndata: ")
 		for {
 			if _, err := conn.Write(make([]byte, 1<<16)); err != nil {
@@ -74,7 +74,7 @@
 			}
 		}
 	})
-	cfg := fleetText([]string{b.address}, nil)
+	cfg := fleetConfig([]string{b.address}, nil)
 	cfg.Services[0].MaxAttempts = 1
 	i := startInstance(t, cfg, proxy.Options{})
 	got := send(t, newChat(t, i.url, true, nil))
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -9,9 +9,9 @@
 	"strconv"
 )
 
-// maxEvent limits the size of a server-sent event in bytes, and so the memory of this
+// maxEventSize limits the size of a server-sent event in bytes, and so the memory of this
 // instance that an engine can use for one stream.
-const maxEvent = 1 << 20
+const maxEventSize = 1 << 20
 
 // endMark is the data of the event that ends a complete chat stream.
 const endMark = "[DONE]"
@@ -41,13 +41,13 @@
 // Only complete events are sent to the caller: if an engine fails within an event, the
 // resumed stream starts at the beginning of an event and nothing is sent twice.
 type eventReader struct {
-	in *bufio.Reader
+	reader *bufio.Reader
 	// text holds the event that is being read.
 	text []byte
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{in: bufio.NewReader(r)}
+	return &eventReader{reader: bufio.NewReader(r)}
 }
 
 // next reads one event.
@@ -55,7 +55,7 @@
 	r.text = r.text[:0]
 	var e streamEvent
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return streamEvent{}, err
 		}
@@ -67,20 +67,20 @@
 			e.text = r.text
 			return e, nil
 		}
-		e.take(line)
+		e.parseLine(line)
 	}
 }
 
 // partial reports whether reading ended within an event.
 func (r *eventReader) partial() bool { return len(r.text) > 0 }
 
-// line appends one line to the text and returns it without its line ending.
-func (r *eventReader) line() ([]byte, error) {
+// readLine appends one line to the text and returns it without its line ending.
+func (r *eventReader) readLine() ([]byte, error) {
 	start := len(r.text)
 	for {
-		part, err := r.in.ReadSlice('\n')
+		part, err := r.reader.ReadSlice('\n')
 		r.text = append(r.text, part...)
-		if len(r.text) > maxEvent {
+		if len(r.text) > maxEventSize {
 			return nil, errEventTooLarge
 		}
 		if err == nil {
@@ -92,8 +92,8 @@
 	}
 }
 
-// take parses one line of the event.
-func (e *streamEvent) take(line []byte) {
+// parseLine parses one line of the event.
+func (e *streamEvent) parseLine(line []byte) {
 	field, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(field) {
@@ -105,15 +105,15 @@
 	}
 }
 
-// sequence tracks the event numbers of a stream across resumptions.
-type sequence struct {
+// eventSequence tracks the event numbers of a stream across resumptions.
+type eventSequence struct {
 	last uint64
 }
 
-// check reports whether the event is new; a repeated event must be dropped. If
+// accept reports whether the event is new; a repeated event must be dropped. If
 // everyNumber is set, event numbers are contiguous and a gap is an error, because the
 // caller would miss a part of the response without notice.
-func (s *sequence) check(e streamEvent, everyNumber bool) (bool, error) {
+func (s *eventSequence) accept(e streamEvent, everyNumber bool) (bool, error) {
 	switch {
 	case e.id == 0:
 		return true, nil
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,43 +12,43 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// effectQueue is the capacity of a request's effect queue. At most one attempt and
+// effectQueueSize is the capacity of a request's effect queue. At most one attempt and
 // one Finish wait at a time, because the core sends the next attempt only after the
 // previous one has ended.
-const effectQueue = 4
+const effectQueueSize = 4
 
 // exchange is one caller's request and its response.
 type exchange struct {
-	server  *Server
-	ctx     *fasthttp.RequestCtx
-	id      core.RequestID
-	request *Request
-	begun   time.Time
-	effects chan core.Effect
-	answer  *answer
-	unwatch func()
+	server    *Server
+	ctx       *fasthttp.RequestCtx
+	id        core.RequestID
+	request   *Request
+	startedAt time.Time
+	effects   chan core.Effect
+	response  *callerResponse
+	stopWatch func()
 
 	mu sync.Mutex
-	// current is the call of the running attempt.
-	current *call
+	// running is the call of the running attempt.
+	running *call
 	attempt int
-	// cancelled is the highest number of a cancelled attempt.
-	cancelled int
-	// over is set once the core has sent Finish.
-	over bool
+	// cancelledUpTo is the highest number of a cancelled attempt.
+	cancelledUpTo int
+	// finished is set once the core has sent Finish.
+	finished bool
 }
 
 func newExchange(s *Server, ctx *fasthttp.RequestCtx, r *Request) *exchange {
 	x := &exchange{
-		server:  s,
-		ctx:     ctx,
-		id:      r.Arrived.Request,
-		request: r,
-		begun:   time.Now(),
-		effects: make(chan core.Effect, effectQueue),
-		unwatch: func() {},
+		server:    s,
+		ctx:       ctx,
+		id:        r.Arrived.Request,
+		request:   r,
+		startedAt: time.Now(),
+		effects:   make(chan core.Effect, effectQueueSize),
+		stopWatch: func() {},
 	}
-	x.answer = &answer{exchange: x}
+	x.response = &callerResponse{exchange: x}
 	return x
 }
 
@@ -56,14 +56,14 @@
 func (x *exchange) run() {
 	x.server.register(x)
 	if c, ok := x.ctx.Conn().(*callerConn); ok {
-		x.unwatch = c.watch(func() { x.server.post(core.CallerGone{Request: x.id}) })
+		x.stopWatch = c.watchClose(func() { x.server.post(core.CallerGone{Request: x.id}) })
 	}
 	x.server.post(x.request.Arrived)
 	for effect := range x.effects {
 		switch e := effect.(type) {
 		case core.SendAttempt:
-			if x.answer.open(e) {
-				x.answer.begin()
+			if x.response.openAttempt(e) {
+				x.response.sendHead()
 				return
 			}
 		case core.Finish:
@@ -77,10 +77,10 @@
 func (x *exchange) deliver(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.CancelAttempt:
-		x.cut(e.Attempt, false)
+		x.cancelCall(e.Attempt, false)
 		return
 	case core.Finish:
-		x.cut(e.Attempt, true)
+		x.cancelCall(e.Attempt, true)
 	}
 	select {
 	case x.effects <- effect:
@@ -90,54 +90,54 @@
 	}
 }
 
-// cut cancels the running call of the given attempt or an earlier one, so that its
+// cancelCall cancels the running call of the given attempt or an earlier one, so that its
 // goroutine returns to process the next effect. If over is set, it cancels any call.
-func (x *exchange) cut(attempt int, over bool) {
+func (x *exchange) cancelCall(attempt int, over bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.over = x.over || over
-	x.cancelled = max(x.cancelled, attempt)
-	if x.current != nil && (over || x.attempt <= x.cancelled) {
-		x.current.cancel()
+	x.finished = x.finished || over
+	x.cancelledUpTo = max(x.cancelledUpTo, attempt)
+	if x.running != nil && (over || x.attempt <= x.cancelledUpTo) {
+		x.running.cancel()
 	}
 }
 
-// enter makes c the running call. It cancels c at once if the attempt has been
+// setRunning makes c the running call. It cancels c at once if the attempt has been
 // cancelled already.
-func (x *exchange) enter(attempt int, c *call) {
+func (x *exchange) setRunning(attempt int, c *call) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.current, x.attempt = c, attempt
-	if x.over || attempt <= x.cancelled {
+	x.running, x.attempt = c, attempt
+	if x.finished || attempt <= x.cancelledUpTo {
 		c.cancel()
 	}
 }
 
-// ended logs the end of an attempt and posts it to the core.
-func (x *exchange) ended(event core.AttemptEnded, err error) {
+// attemptEnded logs the end of an attempt and posts it to the core.
+func (x *exchange) attemptEnded(event core.AttemptEnded, err error) {
 	event.Request = x.id
 	if err != nil {
 		event.Detail = err.Error()
 	}
-	x.server.log.put("attempt ended", "request", x.id, "attempt", event.Attempt, "backend", x.answer.send.Backend,
-		"outcome", event.Outcome, "status", x.answer.status, "sinceArrivalMs", time.Since(x.begun).Milliseconds(),
-		"firstMs", x.answer.first.Milliseconds(), "lastEvent", x.answer.sequence.last, "dialled", x.answer.dialled, "error", event.Detail)
+	x.server.log.put("attempt ended", "request", x.id, "attempt", event.Attempt, "backend", x.response.attempt.Backend,
+		"outcome", event.Outcome, "status", x.response.status, "sinceArrivalMs", time.Since(x.startedAt).Milliseconds(),
+		"firstMs", x.response.timeToFirstByte.Milliseconds(), "lastEvent", x.response.sequence.last, "dialled", x.response.dialReason, "error", event.Detail)
 	x.server.post(event)
 }
 
-// leave stops the watch on the caller's connection and unregisters the exchange.
-func (x *exchange) leave() {
-	x.unwatch()
-	x.server.forget(x.id)
+// release stops the watch on the caller's connection and unregisters the exchange.
+func (x *exchange) release() {
+	x.stopWatch()
+	x.server.unregister(x.id)
 }
 
 // finish writes the final response: the held failure response of a backend server, or
 // one that the fleet itself generates.
 func (x *exchange) finish(e core.Finish) {
-	x.answer.abandon()
-	x.leave()
-	if e.ForwardFailure && x.answer.failure != nil {
-		x.answer.failure.write(x)
+	x.response.cancelStream()
+	x.release()
+	if e.ForwardFailure && x.response.heldFailure != nil {
+		x.response.heldFailure.write(x)
 		return
 	}
 	x.server.options.Dialect.WriteFinal(&x.ctx.Response, x.request, &e)
@@ -155,17 +155,17 @@
 	return req
 }
 
-// outcomeOf classifies a call that returned no response. Once the kernel has accepted
+// outcomeWithoutResponse classifies a call that returned no response. Once the kernel has accepted
 // one byte, the byte may have reached the backend server.
-func outcomeOf(c *call) retry.Outcome {
+func outcomeWithoutResponse(c *call) retry.Outcome {
 	if c.sent() {
 		return retry.Unknown
 	}
 	return retry.NotSent
 }
 
-// finishReason returns the error that ends the body of a broken response.
-func finishReason(e core.Finish) error {
+// endedEarlyError returns the error that ends the body of a broken response.
+func endedEarlyError(e core.Finish) error {
 	why := e.Reason
 	if why == reason.None {
 		why = reason.BrokenStream
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	waitFor = 10 * time.Second
-	poll    = 5 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 // instance runs the real core, loop and proxy over TCP. It ignores effects that concern
@@ -39,8 +39,8 @@
 	stopped chan struct{}
 	// closed is closed once the listener is closed.
 	closed chan struct{}
-	// notReady is called when the instance reports that it is not ready.
-	notReady func()
+	// onNotReady is called when the instance reports that it is not ready.
+	onNotReady func()
 
 	mu       sync.Mutex
 	finishes []core.Finish
@@ -64,8 +64,8 @@
 		go i.server.Deliver(e.Request, e)
 	case core.SetReady:
 		i.server.SetReady(e.Ready)
-		if i.notReady != nil {
-			i.notReady()
+		if i.onNotReady != nil {
+			i.onNotReady()
 		}
 	case core.CloseListener:
 		go func() {
@@ -152,9 +152,9 @@
 	return i
 }
 
-// fleetText returns a configuration with a model service and a plain service at the given
+// fleetConfig returns a configuration with a model service and a plain service at the given
 // addresses.
-func fleetText(model, plain []string) config.Text {
+func fleetConfig(model, plain []string) config.Text {
 	servers := func(kind string, addresses []string) []config.BackendServer {
 		var list []config.BackendServer
 		for n, a := range addresses {
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -52,8 +52,8 @@
 	enginePrefix = "Engine-"
 )
 
-// hopByHop is the set of headers that apply to a single connection (RFC 9110, 7.6.1).
-var hopByHop = map[string]bool{
+// hopByHopHeaders is the set of headers that apply to a single connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Authenticate":  true,
@@ -66,9 +66,9 @@
 	"Expect":              true,
 }
 
-// forwarded is the set of the fleet's request headers that are sent to backend servers:
+// forwardedHeaders is the set of the fleet's request headers that are sent to backend servers:
 // the chat, by which an engine finds a cached prefix, and the request ID, for its logs.
-var forwarded = map[string]bool{HeaderChat: true, HeaderRequestID: true}
+var forwardedHeaders = map[string]bool{HeaderChat: true, HeaderRequestID: true}
 
 // copyRequestHeaders copies a caller's headers to a request to a backend server. It
 // omits hop-by-hop headers, engine headers and the fleet's headers that are not
@@ -78,8 +78,8 @@
 	named := NamedByConnection(from.Peek("Connection"))
 	for _, key := range from.PeekKeys() {
 		name := string(key)
-		private := strings.HasPrefix(name, fleetPrefix) && !forwarded[name] || strings.HasPrefix(name, enginePrefix)
-		if HopByHop(name, named) || private {
+		private := strings.HasPrefix(name, fleetPrefix) && !forwardedHeaders[name] || strings.HasPrefix(name, enginePrefix)
+		if IsHopByHop(name, named) || private {
 			to.Del(name)
 		}
 	}
@@ -105,7 +105,7 @@
 func CopyEndToEnd(to, from *fasthttp.ResponseHeader) {
 	named := NamedByConnection(from.Peek("Connection"))
 	for key, value := range from.All() {
-		if name := string(key); HopByHop(name, named) || name == "Content-Length" {
+		if name := string(key); IsHopByHop(name, named) || name == "Content-Length" {
 			continue
 		}
 		to.AddBytesKV(key, value)
@@ -126,9 +126,9 @@
 	return named
 }
 
-// loadOf parses the backend server's load from the headers of a response. It returns
+// parseLoad parses the backend server's load from the headers of a response. It returns
 // nil if they hold no valid load.
-func loadOf(backend string, h *fasthttp.ResponseHeader, now time.Time) *membership.Report {
+func parseLoad(backend string, h *fasthttp.ResponseHeader, now time.Time) *membership.Report {
 	inFlight, err := strconv.Atoi(string(h.Peek(HeaderLoad)))
 	if err != nil || inFlight < 0 {
 		return nil
@@ -144,9 +144,9 @@
 // maxRetryAfter caps the Retry-After of a backend server.
 const maxRetryAfter = time.Hour
 
-// RetryAfterOf parses a Retry-After header in seconds, with or without a fraction. It
+// ParseRetryAfter parses a Retry-After header in seconds, with or without a fraction. It
 // returns 0 if the header is missing or invalid.
-func RetryAfterOf(h *fasthttp.ResponseHeader) time.Duration {
+func ParseRetryAfter(h *fasthttp.ResponseHeader) time.Duration {
 	seconds, err := strconv.ParseFloat(string(h.Peek("Retry-After")), 64)
 	if err != nil || !(seconds >= 0) {
 		return 0
@@ -156,9 +156,9 @@
 
 // isEventStream reports whether the body of a response is a stream of server-sent events.
 func isEventStream(h *fasthttp.ResponseHeader) bool {
-	return bytes.HasPrefix(h.ContentType(), []byte(eventStream))
+	return bytes.HasPrefix(h.ContentType(), []byte(eventStreamType))
 }
 
-// HopByHop reports whether a header is hop-by-hop, either by its own name or because the
+// IsHopByHop reports whether a header is hop-by-hop, either by its own name or because the
 // message's Connection header names it.
-func HopByHop(name string, named map[string]bool) bool { return hopByHop[name] || named[name] }
+func IsHopByHop(name string, named map[string]bool) bool { return hopByHopHeaders[name] || named[name] }
--- a/internal/proxy/heldanswer.go
+++ b/internal/proxy/heldanswer.go
@@ -10,9 +10,9 @@
 	"github.com/ebonydyke/ebonydyke/internal/core/retry"
 )
 
-// heldAnswer is a whole failure response that is buffered until the core decides
+// heldResponse is a whole failure response that is buffered until the core decides
 // whether another attempt follows.
-type heldAnswer struct {
+type heldResponse struct {
 	header fasthttp.ResponseHeader
 	body   []byte
 	send   core.SendAttempt
@@ -20,21 +20,21 @@
 
 // holdFailure reads a failure response to its end and reports it. A response that is
 // cut, or too large to buffer, is reported as broken.
-func (r *answer) holdFailure() {
-	body, err := io.ReadAll(io.LimitReader(r.call, wholeBody+1))
-	if err != nil || len(body) > wholeBody {
-		r.lost(retry.Broken, "", fmt.Errorf("%w with an incomplete body: %w", errFailed, err))
+func (r *callerResponse) holdFailure() {
+	body, err := io.ReadAll(io.LimitReader(r.call, maxBufferedBody+1))
+	if err != nil || len(body) > maxBufferedBody {
+		r.abortAttempt(retry.Broken, "", fmt.Errorf("%w with an incomplete body: %w", errBackendFailure, err))
 		return
 	}
-	held := &heldAnswer{body: body, send: r.send}
+	held := &heldResponse{body: body, send: r.attempt}
 	r.resp.Header.CopyTo(&held.header)
-	r.failure = held
+	r.heldFailure = held
 	r.closeCall(true)
-	r.end(core.AttemptEnded{Outcome: retry.Failed}, errFailed)
+	r.reportEnd(core.AttemptEnded{Outcome: retry.Failed}, errBackendFailure)
 }
 
 // write sends the held response to the caller.
-func (h *heldAnswer) write(x *exchange) {
+func (h *heldResponse) write(x *exchange) {
 	out := &x.ctx.Response
 	x.server.options.Dialect.WriteHead(&out.Header, &h.header, x.request, &h.send)
 	out.SetStatusCode(h.header.StatusCode())
--- a/internal/proxy/input_test.go
+++ b/internal/proxy/input_test.go
@@ -60,7 +60,7 @@
 		{"slow request", chatHead + "Content-Length: 50\r\n\r\n{", 408, reason.BadRequest},
 	}
 	engines, addresses := startEngines(t, 1, time.Millisecond)
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{ReadTimeout: time.Second})
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{ReadTimeout: time.Second})
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			before := i.refusals(tt.why)
@@ -85,9 +85,9 @@
 // A caller that sends 100 MB and reads the response only after the last byte must receive
 // the reason for the refusal and not a connection reset. The instance buffers no more of
 // the body than its limit.
-func TestHugeBodyIsToldWhy(t *testing.T) {
+func TestHugeBodyReceivesReason(t *testing.T) {
 	_, addresses := startEngines(t, 1, time.Millisecond)
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{})
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{})
 	conn := dial(t, i.address)
 	_, err := fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n", chatHead, 100<<20)
 	require.NoError(t, err)
@@ -106,14 +106,14 @@
 // another connection is closed, a new one must be accepted.
 func TestConnectionLimit(t *testing.T) {
 	_, addresses := startEngines(t, 1, time.Millisecond)
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{MaxConns: 2})
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{MaxConns: 2})
 	first, second := dial(t, i.address), dial(t, i.address)
 	b := &balancer.Balancer{}
 	for _, conn := range []net.Conn{first, second} {
 		_, err := b.Send(conn, newChat(t, i.url, false, nil))
 		require.NoError(t, err)
 	}
-	require.EqualValues(t, 2, b.Whole.Load())
+	require.EqualValues(t, 2, b.Completed.Load())
 	_, err := b.Send(dial(t, i.address), newChat(t, i.url, false, nil))
 	require.NoError(t, err)
 	require.EqualValues(t, 1, b.Refused.Load())
@@ -121,8 +121,8 @@
 	require.NoError(t, first.Close())
 	require.Eventually(t, func() bool {
 		_, err := b.Send(dial(t, i.address), newChat(t, i.url, false, nil))
-		return err == nil && b.Whole.Load() == 3
-	}, waitFor, poll)
+		return err == nil && b.Completed.Load() == 3
+	}, waitTimeout, pollInterval)
 }
 
 // A caller that reads nothing of its response must be disconnected, and its stream at the
@@ -133,14 +133,14 @@
 	// The stall begins once the connection's buffers of four megabytes are full. With
 	// small events a busy machine does not fill them within ten seconds.
 	engines[0].Padding = 4 << 10
-	i := startInstance(t, fleetText(addresses, nil), proxy.Options{WriteStall: time.Second})
+	i := startInstance(t, fleetConfig(addresses, nil), proxy.Options{WriteStall: time.Second})
 	open := func() net.Conn {
 		conn := dial(t, i.address)
 		require.NoError(t, newChat(t, i.url, true, nil).Write(conn))
 		return conn
 	}
 	open()
-	require.Eventually(t, func() bool { return engines[0].Stats().Cancelled == 1 }, waitFor, poll,
+	require.Eventually(t, func() bool { return engines[0].Stats().Cancelled == 1 }, waitTimeout, pollInterval,
 		"the stream of a caller that reads nothing is still open")
 	// The kernel opens its receive window only in steps of up to a sixteenth of the
 	// receive buffer. The reader consumes well over one step per WriteStall.
@@ -154,16 +154,16 @@
 
 // Hop-by-hop headers and the fleet's private headers must not be forwarded; all other
 // headers must be forwarded in both directions.
-func TestHeadersPass(t *testing.T) {
+func TestHeaderForwarding(t *testing.T) {
 	var got *http.Request
-	b := startRaw(t, func(_ int, r *http.Request, conn net.Conn) bool {
+	b := startRawBackend(t, func(_ int, r *http.Request, conn net.Conn) bool {
 		got = r
 		_, _ = io.WriteString(conn, "HTTP/1.1 418 Teapot\r\nContent-Length: 3\r\nX-Feed: tampere\r\nSet-Cookie: a=1\r\n"+
 			"Set-Cookie: b=2\r\nContent-Type: text/x-feed\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\n"+
 			"Ebonydyke-Outcome: not-run\r\nEngine-Load: 3\r\n\r\nabc")
 		return true
 	})
-	i := startInstance(t, fleetText(nil, []string{b.address}), proxy.Options{})
+	i := startInstance(t, fleetConfig(nil, []string{b.address}), proxy.Options{})
 	resp := send(t, newCall(t, "PUT", i.url+"/services/portal/a%2Fb/../c?q=1%202&r", "body", headers{
 		"X-Desk": "ferry", "Connection": "X-Once", "X-Once": "1", "Te": "trailers", "Idempotency-Key": "k1",
 		proxy.HeaderPriority: "7", proxy.HeaderPlacement: "hint", proxy.HeaderDeadline: "5000", "Engine-Priority": "9",
@@ -191,8 +191,8 @@
 }
 
 // Responses to HEAD and responses without a body must keep their framing.
-func TestAnswersWithoutBody(t *testing.T) {
-	b := startRaw(t, func(_ int, r *http.Request, conn net.Conn) bool {
+func TestResponsesWithoutBody(t *testing.T) {
+	b := startRawBackend(t, func(_ int, r *http.Request, conn net.Conn) bool {
 		if r.Method == "HEAD" {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
 			return true
@@ -200,7 +200,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 		return true
 	})
-	i := startInstance(t, fleetText(nil, []string{b.address}), proxy.Options{})
+	i := startInstance(t, fleetConfig(nil, []string{b.address}), proxy.Options{})
 	for range 3 {
 		head := send(t, newCall(t, "HEAD", i.url+"/services/portal/x", "", nil))
 		require.NoError(t, head.err)
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -19,23 +19,23 @@
 // starts about 300 streams per second: eight times the two-year peak.
 const tokenInterval = 50 * time.Millisecond
 
-// firstBytes records times to first byte in nanoseconds.
-type firstBytes struct {
+// firstByteTimes records times to first byte in nanoseconds.
+type firstByteTimes struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-func newFirstBytes() *firstBytes {
-	return &firstBytes{hist: hdrhistogram.New(1, int64(time.Minute), 3)}
+func newFirstByteTimes() *firstByteTimes {
+	return &firstByteTimes{hist: hdrhistogram.New(1, int64(time.Minute), 3)}
 }
 
-func (f *firstBytes) record(d time.Duration) {
+func (f *firstByteTimes) record(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_ = f.hist.RecordValue(int64(d))
 }
 
-func (f *firstBytes) micros(quantile float64) float64 {
+func (f *firstByteTimes) quantileMicros(quantile float64) float64 {
 	return float64(f.hist.ValueAtQuantile(quantile)) / 1e3
 }
 
@@ -54,14 +54,14 @@
 func benchmarkFirstByte(b *testing.B, streams int) {
 	engines, addresses := startEngines(b, 1, tokenInterval)
 	engines[0].CacheChats = 1
-	i := startInstance(b, fleetText(addresses, nil), proxy.Options{})
+	i := startInstance(b, fleetConfig(addresses, nil), proxy.Options{})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * streams}}
-	direct, through := newFirstBytes(), newFirstBytes()
-	measure := func(url string, f *firstBytes) {
+	direct, through := newFirstByteTimes(), newFirstByteTimes()
+	measure := func(url string, f *firstByteTimes) {
 		f.record(timeFirstByte(b, client, url))
 	}
-	measure("http://"+addresses[0], newFirstBytes())
-	measure(i.url, newFirstBytes())
+	measure("http://"+addresses[0], newFirstByteTimes())
+	measure(i.url, newFirstByteTimes())
 	work := make(chan struct{})
 	var workers sync.WaitGroup
 	for n := range streams {
@@ -84,9 +84,9 @@
 		name string
 		at   float64
 	}{{"p50", 50}, {"p99", 99}} {
-		b.ReportMetric(direct.micros(q.at), "direct-"+q.name+"-µs")
-		b.ReportMetric(through.micros(q.at), "through-"+q.name+"-µs")
-		b.ReportMetric(through.micros(q.at)-direct.micros(q.at), "added-"+q.name+"-µs")
+		b.ReportMetric(direct.quantileMicros(q.at), "direct-"+q.name+"-µs")
+		b.ReportMetric(through.quantileMicros(q.at), "through-"+q.name+"-µs")
+		b.ReportMetric(through.quantileMicros(q.at)-direct.quantileMicros(q.at), "added-"+q.name+"-µs")
 	}
 }
 
@@ -116,18 +116,18 @@
 	const streams = 256
 	for range b.N {
 		engines, addresses := startEngines(b, 1, time.Hour)
-		i := startInstance(b, fleetText(addresses, nil), proxy.Options{})
-		before := memory()
+		i := startInstance(b, fleetConfig(addresses, nil), proxy.Options{})
+		before := memoryInUse()
 		for range streams {
 			conn := dial(b, i.address)
 			require.NoError(b, newChat(b, i.url, true, nil).Write(conn))
 		}
-		require.Eventually(b, func() bool { return engines[0].Stats().InFlight == streams }, waitFor, poll)
-		b.ReportMetric(float64(memory()-before)/streams, "bytes/stream")
+		require.Eventually(b, func() bool { return engines[0].Stats().InFlight == streams }, waitTimeout, pollInterval)
+		b.ReportMetric(float64(memoryInUse()-before)/streams, "bytes/stream")
 	}
 }
 
-func memory() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -6,8 +6,8 @@
 	"k8s.io/klog/v2"
 )
 
-// logLines is the capacity of the queue of log lines.
-const logLines = 1024
+// logQueueSize is the capacity of the queue of log lines.
+const logQueueSize = 1024
 
 // logQueue writes log lines asynchronously.
 //
@@ -25,7 +25,7 @@
 }
 
 func newLogQueue() *logQueue {
-	q := &logQueue{lines: make(chan logLine, logLines)}
+	q := &logQueue{lines: make(chan logLine, logQueueSize)}
 	go q.run()
 	return q
 }
--- a/internal/proxy/log_test.go
+++ b/internal/proxy/log_test.go
@@ -13,9 +13,9 @@
 
 // Guards against requests that block because the reader of the log hangs. Lines must be
 // dropped and counted if the queue is full.
-func TestStuckLogHoldsNobodyUp(t *testing.T) {
-	q := &logQueue{lines: make(chan logLine, logLines)}
-	for range logLines + 7 {
+func TestBlockedLogDropsLines(t *testing.T) {
+	q := &logQueue{lines: make(chan logLine, logQueueSize)}
+	for range logQueueSize + 7 {
 		q.put("attempt failed")
 	}
 	require.EqualValues(t, 7, q.dropped.Load())
@@ -24,11 +24,11 @@
 // Guards against a log line of an ended attempt that omits the status of the backend
 // server's failure response. Without it, a timeout, a faulty server and an overloaded
 // server cannot be told apart in the logs.
-func TestTheLineOfAnEndedAttemptSaysTheStatus(t *testing.T) {
+func TestAttemptEndedLogHasStatus(t *testing.T) {
 	q := &logQueue{lines: make(chan logLine, 1)}
 	x := &exchange{id: "r1", server: &Server{log: q, post: func(core.Event) {}}}
-	x.answer = &answer{exchange: x, status: 504}
-	x.ended(core.AttemptEnded{Attempt: 1, Outcome: retry.Failed}, errFailed)
+	x.response = &callerResponse{exchange: x, status: 504}
+	x.attemptEnded(core.AttemptEnded{Attempt: 1, Outcome: retry.Failed}, errBackendFailure)
 	line := <-q.lines
 	at := slices.Index(line.keysAndValues, any("status"))
 	require.GreaterOrEqual(t, at, 0)
@@ -37,7 +37,7 @@
 
 // Guards against a log line that shows a missing load report as a report of age 0. This
 // happened while requests concentrated on engines, most of which had not reported a load.
-func TestTheLineOfAnAttemptTellsNoReportFromAFreshOne(t *testing.T) {
+func TestAttemptLogMarksMissingReport(t *testing.T) {
 	for age, want := range map[time.Duration]int64{-1: -1, 0: 0, 1500 * time.Millisecond: 1500} {
 		q := &logQueue{lines: make(chan logLine, 1)}
 		s := &Server{log: q, options: Options{Now: time.Now}}
--- a/internal/proxy/native.go
+++ b/internal/proxy/native.go
@@ -101,12 +101,12 @@
 		return BadRequestf("the path names no service")
 	}
 	r.Arrived.Service = name
-	r.Target = "/" + target + queryOf(ctx)
+	r.Target = "/" + target + rawQuery(ctx)
 	return nil
 }
 
-// queryOf returns the query as received, with its question mark, or "".
-func queryOf(ctx *fasthttp.RequestCtx) string {
+// rawQuery returns the query as received, with its question mark, or "".
+func rawQuery(ctx *fasthttp.RequestCtx) string {
 	query := ctx.URI().QueryString()
 	if len(query) == 0 {
 		return ""
@@ -129,7 +129,7 @@
 		return BadRequestf("the body names no model")
 	}
 	r.Arrived.Model = chat.Model
-	r.Target = chatPath + queryOf(ctx)
+	r.Target = chatPath + rawQuery(ctx)
 	r.stream = chat.Stream
 	return nil
 }
@@ -145,13 +145,13 @@
 // not start the request: backend servers of this interface mark no other kind.
 func (Native) ReadHead(h *fasthttp.ResponseHeader, r *Request, e *core.SendAttempt, now time.Time) Head {
 	head := Head{
-		Load:   loadOf(e.Backend, h, now),
-		Events: r.stream && isEventStream(h),
-		Marked: true,
+		Load:      parseLoad(e.Backend, h, now),
+		Events:    r.stream && isEventStream(h),
+		EndMarked: true,
 	}
 	if notStarted(h) {
 		head.Verdict = NotStarted
-		head.RetryAfter = RetryAfterOf(h)
+		head.RetryAfter = ParseRetryAfter(h)
 		return head
 	}
 	if head.Events {
@@ -181,9 +181,9 @@
 		out.Header.Set(HeaderFirst, e.First)
 	}
 	if e.RetryAfter > 0 {
-		out.Header.Set("Retry-After", seconds(e.RetryAfter))
+		out.Header.Set("Retry-After", ceilSeconds(e.RetryAfter))
 	}
-	out.SetBodyRaw(encodeError(message(e), e.Outcome, e.Reason))
+	out.SetBodyRaw(encodeError(errorMessage(e), e.Outcome, e.Reason))
 }
 
 // statusCallerGone is only logged, because the caller has disconnected.
@@ -221,14 +221,14 @@
 	out.Header.SetContentType("application/json")
 	out.Header.Set(HeaderRequestID, string(id))
 	out.Header.Set(HeaderOutcome, string(reason.NotRun))
-	out.Header.Set(HeaderReason, string(rejected.Why))
-	out.SetBodyRaw(encodeError(rejected.Text, reason.NotRun, rejected.Why))
+	out.Header.Set(HeaderReason, string(rejected.Reason))
+	out.SetBodyRaw(encodeError(rejected.Message, reason.NotRun, rejected.Reason))
 }
 
 // BrokenEvent returns the error event that ends an incomplete stream. Callers that do
 // not parse events detect the incomplete stream by the missing final chunk.
 func (Native) BrokenEvent(_ *Request, e *core.Finish) []byte {
-	text := encodeError(message(e), e.Outcome, e.Reason)
+	text := encodeError(errorMessage(e), e.Outcome, e.Reason)
 	return fmt.Appendf(nil, "event: error\ndata: %s\n\n", text)
 }
 
@@ -249,7 +249,7 @@
 	return h.StatusCode() >= fasthttp.StatusBadRequest && string(h.Peek(HeaderNotStarted)) == "true"
 }
 
-func message(e *core.Finish) string {
+func errorMessage(e *core.Finish) string {
 	return fmt.Sprintf("request %s: %s: %s", e.Request, e.Outcome, e.Reason)
 }
 
--- a/internal/proxy/native_test.go
+++ b/internal/proxy/native_test.go
@@ -12,7 +12,7 @@
 
 // Checks the status code of each refusal in the fleet's own interface. The core defines
 // only outcomes and reasons.
-func TestStatusesOfTheNativeInterface(t *testing.T) {
+func TestNativeStatus(t *testing.T) {
 	for _, tt := range []struct {
 		outcome reason.Outcome
 		why     reason.Reason
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -63,7 +63,7 @@
 	DefaultInactivity  = 30 * time.Second
 )
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -16,22 +16,22 @@
 
 // BadRequestf returns a rejection with status 400 and a formatted message.
 func BadRequestf(format string, args ...any) *Rejection {
-	return &Rejection{Status: http.StatusBadRequest, Why: reason.BadRequest, Text: fmt.Sprintf(format, args...)}
+	return &Rejection{Status: http.StatusBadRequest, Reason: reason.BadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
 // reject writes the response to a request that did not reach the core.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, id core.RequestID, rejected *Rejection) {
-	s.record(&core.Finish{
+	s.recordFinish(&core.Finish{
 		Request: id,
 		Outcome: reason.NotRun,
-		Reason:  rejected.Why,
-	}, rejected.Text)
+		Reason:  rejected.Reason,
+	}, rejected.Message)
 	s.options.Dialect.WriteRejection(&ctx.Response, id, rejected)
 }
 
-// badRequest writes the response to a request that the HTTP library could not read. The
+// rejectUnreadable writes the response to a request that the HTTP library could not read. The
 // library then closes the connection, because the start of the next request is unknown.
-func (s *Server) badRequest(ctx *fasthttp.RequestCtx, err error) {
+func (s *Server) rejectUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	rejected := BadRequestf("the request cannot be read")
 	var small *fasthttp.ErrSmallBuffer
 	switch {
@@ -43,7 +43,7 @@
 		rejected = &Rejection{http.StatusRequestTimeout, reason.BadRequest, "the request came too slowly"}
 	}
 	if c, ok := ctx.Conn().(*callerConn); ok {
-		c.leaveUnread()
+		c.markUnread()
 	}
 	s.reject(ctx, s.nextID(), rejected)
 }
@@ -55,7 +55,7 @@
 	return len(h.Method()) + len(h.RequestURI()) + protocol + len(h.RawHeaders())
 }
 
-// seconds formats d in whole seconds. It rounds up so that no caller retries too early.
-func seconds(d time.Duration) string {
+// ceilSeconds formats d in whole seconds. It rounds up so that no caller retries too early.
+func ceilSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -11,7 +11,7 @@
 
 // The configured limit applies to the request line and headers exactly as the caller sent
 // them: an error of one byte would refuse a caller that keeps to the limit.
-func TestHeaderBytesAreThoseOfTheCaller(t *testing.T) {
+func TestHeaderBytes(t *testing.T) {
 	const body = "abc"
 	head := "POST /review/7?draft=1 HTTP/1.1\r\nHost: h.example\r\nX-Own:  spaced \r\nContent-Length: 3\r\n\r\n"
 	var r fasthttp.Request
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -17,7 +17,7 @@
 // request is in flight, and its caller disconnects. After an orderly close the kernel
 // keeps the request's bytes and delivers them once the cut heals, ten seconds later. The
 // connection must therefore be reset, which discards the bytes that were not received.
-func TestAnAbandonedRequestIsTakenBack(t *testing.T) {
+func TestAbandonedRequestIsReset(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -39,7 +39,7 @@
 		}
 		ended <- err
 	}()
-	i := startInstance(t, fleetText([]string{l.Addr().String()}, nil), proxy.Options{})
+	i := startInstance(t, fleetConfig([]string{l.Addr().String()}, nil), proxy.Options{})
 	ctx, leave := context.WithCancel(t.Context())
 	go func() {
 		<-arrived
--- a/internal/proxy/reuse.go
+++ b/internal/proxy/reuse.go
@@ -22,18 +22,18 @@
 // timeout while the request is in flight, or the network path is cut silently. A server
 // that is killed resets its connections, which is detected before the next use.
 const (
-	// keepMargin is subtracted from the idle timeout that a server announces. Servers
+	// keepAliveMargin is subtracted from the idle timeout that a server announces. Servers
 	// announce whole seconds, so the actual timeout may be up to one second shorter.
-	keepMargin = time.Second
-	// zoneSilence is the time without bytes from any server of a zone after which pooled
+	keepAliveMargin = time.Second
+	// maxZoneSilence is the time without bytes from any server of a zone after which pooled
 	// connections to the zone are not reused. It equals the time in which a new connection
 	// detects that the path is cut. A silent cut then loses only the requests sent within
 	// this time; without the rule it would lose one request per pooled connection. If a
 	// zone sends less often than this, new connections are opened, which is safe.
-	zoneSilence = 150 * time.Millisecond
-	// longestKept is the idle time after which the pool closes a connection, even if its
+	maxZoneSilence = 150 * time.Millisecond
+	// maxKeepAlive is the idle time after which the pool closes a connection, even if its
 	// server announced a longer timeout.
-	longestKept = 30 * time.Second
+	maxKeepAlive = 30 * time.Second
 )
 
 // DialReason is why a connection to a backend server was opened.
@@ -56,34 +56,34 @@
 // DialReasons lists all reasons for opening a connection.
 var DialReasons = []DialReason{NoneIdle, ServerClosed, IdleTooLong, ZoneSilent}
 
-// unfit returns the reason why the connection must not be reused, or "" if it may be.
-func (c *backendConn) unfit(zone *zoneContact, now time.Time) DialReason {
+// unusableReason returns the reason why the connection must not be reused, or "" if it may be.
+func (c *backendConn) unusableReason(zone *zoneActivity, now time.Time) DialReason {
 	switch {
-	case now.Sub(c.idleSince) > c.keepLimit():
+	case now.Sub(c.idleSince) > c.maxIdle():
 		return IdleTooLong
-	case zone.silence(now) > zoneSilence:
+	case zone.silence(now) > maxZoneSilence:
 		return ZoneSilent
-	case !c.quiet():
+	case !c.openAndSilent():
 		return ServerClosed
 	default:
 		return ""
 	}
 }
 
-// keepLimit returns the longest idle time after which the connection may be reused.
-func (c *backendConn) keepLimit() time.Duration {
-	if c.keep == 0 {
-		return c.unstatedKeep
+// maxIdle returns the longest idle time after which the connection may be reused.
+func (c *backendConn) maxIdle() time.Duration {
+	if c.keepAlive == 0 {
+		return c.defaultKeepAlive
 	}
-	return c.keep - keepMargin
+	return c.keepAlive - keepAliveMargin
 }
 
-// quiet reports whether an idle connection is open and has no bytes to read.
+// openAndSilent reports whether an idle connection is open and has no bytes to read.
 //
 // A backend server may close a pooled connection at any time, and a late response to an
 // abandoned request would be taken for the response to the next request. Both are
 // detected by a read, without consuming bytes, on a connection that must be silent.
-func (c *backendConn) quiet() bool {
+func (c *backendConn) openAndSilent() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -102,52 +102,52 @@
 	return err == nil && quiet
 }
 
-// statedKeepAlive returns the idle timeout that a server announces in its Keep-Alive
+// parseKeepAlive returns the idle timeout that a server announces in its Keep-Alive
 // header, or 0 if it announces none.
-func statedKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
+func parseKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
 	for field := range strings.SplitSeq(string(h.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
 		if strings.EqualFold(name, "timeout") && err == nil && seconds > 0 {
-			return min(time.Duration(seconds)*time.Second, longestKept)
+			return min(time.Duration(seconds)*time.Second, maxKeepAlive)
 		}
 	}
 	return 0
 }
 
-// zoneContact holds the time at which bytes last arrived from the backend servers of a
+// zoneActivity holds the time at which bytes last arrived from the backend servers of a
 // zone, on any connection of this instance.
-type zoneContact struct {
-	// heard is in nanoseconds since the Unix epoch by the core's clock; 0 means never.
-	heard atomic.Int64
+type zoneActivity struct {
+	// lastRead is in nanoseconds since the Unix epoch by the core's clock; 0 means never.
+	lastRead atomic.Int64
 }
 
-// heardAt records that bytes arrived at now.
-func (z *zoneContact) heardAt(now time.Time) { z.heard.Store(now.UnixNano()) }
+// recordRead records that bytes arrived at now.
+func (z *zoneActivity) recordRead(now time.Time) { z.lastRead.Store(now.UnixNano()) }
 
 // silence returns the time since bytes last arrived.
-func (z *zoneContact) silence(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, z.heard.Load()))
+func (z *zoneActivity) silence(now time.Time) time.Duration {
+	return now.Sub(time.Unix(0, z.lastRead.Load()))
 }
 
-// zoneContacts holds the last contact with each zone. Entries are never removed, because
+// zoneActivities holds the last contact with each zone. Entries are never removed, because
 // operators configure few zones.
-type zoneContacts struct {
+type zoneActivities struct {
 	mu     sync.Mutex
-	byName map[string]*zoneContact
+	byName map[string]*zoneActivity
 }
 
-func newZoneContacts() *zoneContacts {
-	return &zoneContacts{byName: make(map[string]*zoneContact)}
+func newZoneActivities() *zoneActivities {
+	return &zoneActivities{byName: make(map[string]*zoneActivity)}
 }
 
-// of returns the entry of a zone and creates it if necessary.
-func (z *zoneContacts) of(name string) *zoneContact {
+// get returns the entry of a zone and creates it if necessary.
+func (z *zoneActivities) get(name string) *zoneActivity {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	contact := z.byName[name]
 	if contact == nil {
-		contact = &zoneContact{}
+		contact = &zoneActivity{}
 		z.byName[name] = contact
 	}
 	return contact
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -26,44 +26,44 @@
 	options  Options
 	http     *fasthttp.Server
 	backends *fasthttp.Client
-	zones    *zoneContacts
+	zones    *zoneActivities
 	engine   *engineClient
-	// leaving is set while the load balancer must not send new requests.
-	leaving atomic.Bool
-	// sequence and prefix form the request IDs.
-	sequence atomic.Uint64
-	log      *logQueue
-	prefix   string
+	// notReady is set while the load balancer must not send new requests.
+	notReady atomic.Bool
+	// lastRequestID and requestIDPrefix form the request IDs.
+	lastRequestID   atomic.Uint64
+	log             *logQueue
+	requestIDPrefix string
 
 	mu        sync.Mutex
 	exchanges map[core.RequestID]*exchange
 	conns     map[*callerConn]struct{}
 	listener  net.Listener
 	closing   bool
-	// lastOpened is the time of the last new connection.
-	lastOpened time.Time
-	// served is set once the accept loop has ended.
-	served bool
+	// lastAccept is the time of the last new connection.
+	lastAccept time.Time
+	// acceptEnded is set once the accept loop has ended.
+	acceptEnded bool
 }
 
 // New returns a server that posts its events to the core with post.
 func New(post func(core.Event), o Options) *Server {
-	o.fill()
+	o.setDefaults()
 	log := newLogQueue()
 	s := &Server{
-		post:      post,
-		options:   o,
-		backends:  newClient(o),
-		zones:     newZoneContacts(),
-		engine:    newEngineClient(o, log),
-		prefix:    strconv.FormatInt(time.Now().UnixNano(), 36),
-		log:       log,
-		exchanges: make(map[core.RequestID]*exchange),
-		conns:     make(map[*callerConn]struct{}),
+		post:            post,
+		options:         o,
+		backends:        newClient(o),
+		zones:           newZoneActivities(),
+		engine:          newEngineClient(o, log),
+		requestIDPrefix: strconv.FormatInt(time.Now().UnixNano(), 36),
+		log:             log,
+		exchanges:       make(map[core.RequestID]*exchange),
+		conns:           make(map[*callerConn]struct{}),
 	}
 	s.http = &fasthttp.Server{
 		Handler:                      s.handle,
-		ErrorHandler:                 s.badRequest,
+		ErrorHandler:                 s.rejectUnreadable,
 		ConnState:                    connState,
 		MaxRequestBodySize:           o.MaxBody,
 		ReadBufferSize:               o.MaxHeader,
@@ -79,7 +79,7 @@
 }
 
 // discardLogger discards the log lines of the HTTP library: they contain callers'
-// addresses and repeat what badRequest logs.
+// addresses and repeat what rejectUnreadable logs.
 type discardLogger struct{}
 
 // Printf discards a line.
@@ -92,9 +92,9 @@
 	}
 	switch state {
 	case fasthttp.StateActive:
-		c.busy()
+		c.markBusy()
 	case fasthttp.StateIdle:
-		c.rest()
+		c.markIdle()
 	default:
 	}
 }
@@ -108,7 +108,7 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.served = true
+		s.acceptEnded = true
 	}()
 	if closing {
 		return l.Close()
@@ -118,7 +118,7 @@
 
 // SetReady sets whether the load balancer may send new requests. While it may not,
 // every response asks the caller to close the connection.
-func (s *Server) SetReady(ready bool) { s.leaving.Store(!ready) }
+func (s *Server) SetReady(ready bool) { s.notReady.Store(!ready) }
 
 // CloseListener closes the listener once no new connection has arrived for AcceptQuiet,
 // and then returns. Open connections continue.
@@ -134,23 +134,23 @@
 	if l == nil {
 		return
 	}
-	for begun := time.Now(); !s.quiet(begun); {
+	for begun := time.Now(); !s.acceptsQuiet(begun); {
 		time.Sleep(drainInterval)
 	}
 	_ = l.Close()
 	go s.Drain()
 }
 
-// quiet reports whether no connection has arrived for AcceptQuiet, or whether the wait
+// acceptsQuiet reports whether no connection has arrived for AcceptQuiet, or whether the wait
 // has exceeded AcceptMax: some client then connects regardless of readiness.
-func (s *Server) quiet(begun time.Time) bool {
+func (s *Server) acceptsQuiet(begun time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(begun) > s.options.AcceptMax {
 		klog.InfoS("closing the listener although new connections still arrive", "waited", s.options.AcceptMax)
 		return true
 	}
-	return time.Since(s.lastOpened) >= s.options.AcceptQuiet
+	return time.Since(s.lastAccept) >= s.options.AcceptQuiet
 }
 
 // Drain waits until the listener and the last connection are closed. Requests in
@@ -171,14 +171,14 @@
 	for c := range s.conns {
 		c.retire(idleBefore)
 	}
-	return s.served && len(s.conns) == 0
+	return s.acceptEnded && len(s.conns) == 0
 }
 
 // connOpened registers a new connection. It returns false if MaxConns is reached.
 func (s *Server) connOpened(c *callerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastOpened = time.Now()
+	s.lastAccept = time.Now()
 	if len(s.conns) >= s.options.MaxConns {
 		return false
 	}
@@ -204,7 +204,7 @@
 		}
 		s.logAttempt(&e)
 	case core.Finish:
-		s.record(&e, "")
+		s.recordFinish(&e, "")
 	}
 	if x != nil {
 		x.deliver(effect)
@@ -236,8 +236,8 @@
 	return age.Milliseconds()
 }
 
-// record counts and logs a final response that the fleet itself generated.
-func (s *Server) record(e *core.Finish, detail string) {
+// recordFinish counts and logs a final response that the fleet itself generated.
+func (s *Server) recordFinish(e *core.Finish, detail string) {
 	s.options.Metrics.Refused(e.Reason)
 	s.log.put("request refused or failed", "request", e.Request, "outcome", e.Outcome,
 		"reason", e.Reason, "customer", e.Customer, "service", e.Service,
@@ -246,9 +246,9 @@
 		"detail", detail)
 }
 
-// localTime converts a time of the core's clock to a connection deadline. The result has
+// connDeadline converts a time of the core's clock to a connection deadline. The result has
 // a monotonic clock reading, so steps of the wall clock do not move it.
-func (s *Server) localTime(t time.Time) time.Time {
+func (s *Server) connDeadline(t time.Time) time.Time {
 	return time.Now().Add(t.Sub(s.options.Now()))
 }
 
@@ -258,18 +258,18 @@
 	s.exchanges[x.id] = x
 }
 
-func (s *Server) forget(id core.RequestID) {
+func (s *Server) unregister(id core.RequestID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.exchanges, id)
 }
 
 func (s *Server) nextID() core.RequestID {
-	return core.RequestID(s.prefix + "-" + strconv.FormatUint(s.sequence.Add(1), 36))
+	return core.RequestID(s.requestIDPrefix + "-" + strconv.FormatUint(s.lastRequestID.Add(1), 36))
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if s.leaving.Load() {
+	if s.notReady.Load() {
 		ctx.SetConnectionClose()
 	}
 	id := s.nextID()
--- a/internal/proxy/transport.go
+++ b/internal/proxy/transport.go
@@ -29,33 +29,33 @@
 type call struct {
 	resp     *fasthttp.Response
 	deadline time.Time
-	// unframed is set if an orderly close of the connection ends a response without a
+	// allowUnframed is set if an orderly close of the connection ends a response without a
 	// length.
-	unframed bool
+	allowUnframed bool
 	// zone records the last contact with the backend server's availability zone.
-	zone *zoneContact
+	zone *zoneActivity
 	now  func() time.Time
-	// dialled is the reason why a connection was opened for the call; "" if a pooled
+	// dialReason is the reason why a connection was opened for the call; "" if a pooled
 	// connection was reused.
-	dialled DialReason
-	// count counts the connections that are opened.
-	count func(DialReason)
-	// first limits the wait for the first bytes of the response, if not 0.
-	first time.Duration
-	// inactivity limits the time between two reads of the response body.
-	inactivity time.Duration
-	// dial limits the time to open a connection.
-	dial time.Duration
-	// begun is set once a byte of the response body has been read.
-	begun bool
-	// firstAt is the deadline for the first bytes of the response, or zero until
-	// firstDeadline computes it.
-	firstAt time.Time
+	dialReason DialReason
+	// countDial counts the connections that are opened.
+	countDial func(DialReason)
+	// firstByteTimeout limits the wait for the first bytes of the response, if not 0.
+	firstByteTimeout time.Duration
+	// inactivityTimeout limits the time between two reads of the response body.
+	inactivityTimeout time.Duration
+	// dialTimeout limits the time to open a connection.
+	dialTimeout time.Duration
+	// bodyStarted is set once a byte of the response body has been read.
+	bodyStarted bool
+	// firstByteExpiry is the deadline for the first bytes of the response, or zero until
+	// firstByteDeadline computes it.
+	firstByteExpiry time.Time
 
 	host *fasthttp.HostClient
-	// give returns the connection to the pool if reuse is set, or closes it.
-	give func(reuse bool)
-	in   *bufio.Reader
+	// release returns the connection to the pool if reuse is set, or closes it.
+	release func(reuse bool)
+	reader  *bufio.Reader
 	// length is the Content-Length of the response, or one of fasthttp's values for a
 	// chunked body (-1) and for a body that ends when the connection closes (-2).
 	length int
@@ -142,9 +142,9 @@
 		if remaining <= 0 {
 			return fasthttp.ErrTimeout
 		}
-		cc, err := hc.AcquireConn(min(remaining, c.dial), false)
+		cc, err := hc.AcquireConn(min(remaining, c.dialTimeout), false)
 		if err != nil {
-			c.opened(why)
+			c.recordDial(why)
 			return fmt.Errorf("proxy: connect: %w", err)
 		}
 		conn, ok := cc.Conn().(*backendConn)
@@ -152,17 +152,17 @@
 			hc.CloseConn(cc)
 			return errors.New("proxy: unexpected connection type")
 		}
-		if conn.kept() {
-			if unfit := conn.unfit(c.zone, c.now()); unfit != "" {
+		if conn.reused() {
+			if unfit := conn.unusableReason(c.zone, c.now()); unfit != "" {
 				why = unfit
 				hc.CloseConn(cc)
 				continue
 			}
 		} else {
-			c.opened(why)
+			c.recordDial(why)
 		}
 		c.host = hc
-		return c.take(conn, func(reuse bool) {
+		return c.attachAcquired(conn, func(reuse bool) {
 			if reuse {
 				hc.ReleaseConn(cc)
 				return
@@ -172,27 +172,27 @@
 	}
 }
 
-// opened records the reason why a connection was opened or why opening one was tried.
-func (c *call) opened(why DialReason) {
-	c.dialled = why
-	c.count(why)
+// recordDial records the reason why a connection was opened or why opening one was tried.
+func (c *call) recordDial(why DialReason) {
+	c.dialReason = why
+	c.countDial(why)
 }
 
-// take attaches an acquired connection to the call. The call passes the connection to
+// attachAcquired attaches an acquired connection to the call. The call passes the connection to
 // release when it ends.
-func (c *call) take(conn *backendConn, release func(reuse bool)) error {
-	reused := conn.kept()
+func (c *call) attachAcquired(conn *backendConn, release func(reuse bool)) error {
+	reused := conn.reused()
 	if err := c.attach(conn); err != nil {
 		release(reused)
 		return err
 	}
-	c.give = release
+	c.release = release
 	return nil
 }
 
 // exchangeHeaders writes the whole request and reads the response up to its body.
 func (c *call) exchangeHeaders(req *fasthttp.Request, resp *fasthttp.Response) error {
-	if err := c.conn.SetDeadline(c.firstDeadline()); err != nil {
+	if err := c.conn.SetDeadline(c.firstByteDeadline()); err != nil {
 		return fmt.Errorf("proxy: set deadline: %w", err)
 	}
 	out := c.host.AcquireWriter(c.conn)
@@ -204,12 +204,12 @@
 	if err != nil {
 		return fmt.Errorf("proxy: send: %w", err)
 	}
-	c.in = c.host.AcquireReader(c.conn)
-	if err := resp.ReadLimitBody(c.in, 0); err != nil {
+	c.reader = c.host.AcquireReader(c.conn)
+	if err := resp.ReadLimitBody(c.reader, 0); err != nil {
 		return fmt.Errorf("proxy: read header: %w", err)
 	}
 	c.resp = resp
-	c.conn.keep = statedKeepAlive(&resp.Header)
+	c.conn.keepAlive = parseKeepAlive(&resp.Header)
 	return nil
 }
 
@@ -225,11 +225,11 @@
 		return 0, fmt.Errorf("proxy: set deadline: %w", err)
 	}
 	n, err := body.Read(p)
-	c.begun = c.begun || n > 0
+	c.bodyStarted = c.bodyStarted || n > 0
 	switch {
 	case err == nil:
 		return n, nil
-	case errors.Is(err, io.EOF) && (c.framed() || c.unframed):
+	case errors.Is(err, io.EOF) && (c.hasFramedEnd() || c.allowUnframed):
 		return n, io.EOF
 	case errors.Is(err, io.EOF):
 		return n, errUnframed
@@ -240,26 +240,26 @@
 	}
 }
 
-// framed reports whether the end of the response can be told from a cut connection.
-func (c *call) framed() bool { return c.length >= -1 }
+// hasFramedEnd reports whether the end of the response can be told from a cut connection.
+func (c *call) hasFramedEnd() bool { return c.length >= -1 }
 
-// firstDeadline returns the deadline for the first bytes of the response. It is computed
+// firstByteDeadline returns the deadline for the first bytes of the response. It is computed
 // once, when the request is sent.
-func (c *call) firstDeadline() time.Time {
-	if c.first > 0 && c.firstAt.IsZero() {
-		c.firstAt = earlier(time.Now().Add(c.first), c.deadline)
+func (c *call) firstByteDeadline() time.Time {
+	if c.firstByteTimeout > 0 && c.firstByteExpiry.IsZero() {
+		c.firstByteExpiry = earlier(time.Now().Add(c.firstByteTimeout), c.deadline)
 	}
-	if c.first > 0 {
-		return c.firstAt
+	if c.firstByteTimeout > 0 {
+		return c.firstByteExpiry
 	}
 	return c.deadline
 }
 
 func (c *call) readDeadline() time.Time {
-	if c.first > 0 && !c.begun {
-		return c.firstDeadline()
+	if c.firstByteTimeout > 0 && !c.bodyStarted {
+		return c.firstByteDeadline()
 	}
-	return earlier(time.Now().Add(c.inactivity), c.deadline)
+	return earlier(time.Now().Add(c.inactivityTimeout), c.deadline)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -272,7 +272,7 @@
 // close ends the call. The connection is reused only if the response was read to the end
 // that its framing marks and no bytes follow it.
 func (c *call) close(whole bool) {
-	if c.give == nil {
+	if c.release == nil {
 		return
 	}
 	conn := c.conn
@@ -280,17 +280,17 @@
 	if !whole {
 		conn.reset()
 	}
-	reuse := whole && intact && c.framed() && c.in != nil && c.in.Buffered() == 0 &&
+	reuse := whole && intact && c.hasFramedEnd() && c.reader != nil && c.reader.Buffered() == 0 &&
 		c.resp != nil && !c.resp.ConnectionClose()
 	conn.idleSince = c.now()
 	if c.resp != nil {
 		_ = c.resp.CloseBodyStream()
 	}
-	if c.in != nil {
-		c.host.ReleaseReader(c.in)
+	if c.reader != nil {
+		c.host.ReleaseReader(c.reader)
 	}
-	c.give(reuse)
-	c.give = nil
+	c.release(reuse)
+	c.release = nil
 }
 
 func isTimeout(err error) bool {
@@ -309,14 +309,14 @@
 		NoDefaultUserAgentHeader:  true,
 		DisablePathNormalizing:    true,
 		MaxConnsPerHost:           maxBackendConns,
-		MaxIdleConnDuration:       max(o.BackendIdle, longestKept),
+		MaxIdleConnDuration:       max(o.BackendIdle, maxKeepAlive),
 		ReadBufferSize:            o.MaxHeader,
 		DialTimeout: func(address string, remaining time.Duration) (net.Conn, error) {
 			conn, err := net.DialTimeout("tcp", address, min(remaining, o.DialTimeout))
 			if err != nil {
 				return nil, err
 			}
-			return &backendConn{Conn: conn, unstatedKeep: o.BackendIdle, now: o.Now}, nil
+			return &backendConn{Conn: conn, defaultKeepAlive: o.BackendIdle, now: o.Now}, nil
 		},
 	}
 }
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -14,12 +14,12 @@
 	"github.com/ebonydyke/ebonydyke/test/standin/engine"
 )
 
-// answerBytes is larger than the engine's response with one stream.
-const answerBytes = 1200
+// maxResponseBytes is larger than the engine's response with one stream.
+const maxResponseBytes = 1200
 
-// freshEach makes each request open a new connection, so that a cut after a number of
+// noReuse makes each request open a new connection, so that a cut after a number of
 // bytes hits that request.
-var freshEach = proxy.Options{BackendIdle: time.Nanosecond}
+var noReuse = proxy.Options{BackendIdle: time.Nanosecond}
 
 // startBehindRelay starts an instance that reaches its only engine through a relay.
 func startBehindRelay(t *testing.T, o proxy.Options) (*instance, *engine.Server, *relay.Relay) {
@@ -28,7 +28,7 @@
 	r, err := relay.Start(addresses[0])
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	cfg := fleetText([]string{r.Address()}, nil)
+	cfg := fleetConfig([]string{r.Address()}, nil)
 	cfg.Services[0].RetryShare = 1
 	return startInstance(t, cfg, o), engines[0], r
 }
@@ -38,11 +38,11 @@
 // cut within the header, it may have run and its outcome must be "unknown". After a later
 // cut, it must be resumed and the caller must receive every event once. It must run
 // once, and its outcome must never be "not-run".
-func TestCutAtAnyByteOfTheAnswer(t *testing.T) {
-	i, e, r := startBehindRelay(t, freshEach)
+func TestCutAtAnyResponseByte(t *testing.T) {
+	i, e, r := startBehindRelay(t, noReuse)
 	whole, unknown := 0, 0
-	for cut := 0; cut < answerBytes; cut += 11 {
-		r.Set(relay.Faults{CutForward: relay.NoLimit, CutBack: cut, Once: true})
+	for cut := 0; cut < maxResponseBytes; cut += 11 {
+		r.SetFaults(relay.Faults{ForwardLimit: relay.NoLimit, BackwardLimit: cut, OneShot: true})
 		got := send(t, newChat(t, i.url, true, headers{proxy.HeaderIdempotent: "false"}))
 		if got.status != http.StatusOK {
 			unknown++
@@ -52,7 +52,7 @@
 		}
 		whole++
 		require.NoError(t, got.err, "cut after %d bytes", cut)
-		require.Equal(t, wholeStream, eventIDs(got.body), "cut after %d bytes", cut)
+		require.Equal(t, wholeStreamIDs, eventIDs(got.body), "cut after %d bytes", cut)
 		requireOneStream(t, got.body)
 	}
 	stats := e.Stats()
@@ -65,12 +65,12 @@
 
 // The connection to the engine is cut after any number of request bytes. If the engine
 // ran the request, or any byte of it was sent, the outcome must not be "not-run".
-func TestCutAtAnyByteOfTheRequest(t *testing.T) {
-	i, e, r := startBehindRelay(t, freshEach)
+func TestCutAtAnyRequestByte(t *testing.T) {
+	i, e, r := startBehindRelay(t, noReuse)
 	for cut := 0; cut < 600; cut += 23 {
-		f := relay.None
-		f.CutForward = cut
-		r.Set(f)
+		f := relay.NoFaults
+		f.ForwardLimit = cut
+		r.SetFaults(f)
 		got := send(t, newChat(t, i.url, true, headers{proxy.HeaderIdempotent: "false"}))
 		require.Contains(t, []string{string(reason.Unknown), string(reason.Answered)},
 			got.header.Get(proxy.HeaderOutcome), "cut after %d bytes", cut)
@@ -87,15 +87,15 @@
 // must end at its deadline, by the core's clock.
 func TestFrozenNetworkEndsAtDeadline(t *testing.T) {
 	i, e, r := startBehindRelay(t, proxy.Options{Inactivity: time.Hour})
-	f := relay.None
-	f.Frozen = true
-	r.Set(f)
+	f := relay.NoFaults
+	f.Blackhole = true
+	r.SetFaults(f)
 	got := send(t, newChat(t, i.url, true, headers{proxy.HeaderDeadline: "800"}))
 	require.Equal(t, http.StatusGatewayTimeout, got.status)
 	require.Equal(t, string(reason.Unknown), got.header.Get(proxy.HeaderOutcome))
 	require.Equal(t, string(reason.DeadlineExceeded), got.header.Get(proxy.HeaderReason))
 	require.Empty(t, e.Stats().Runs)
-	r.Set(relay.None)
+	r.SetFaults(relay.NoFaults)
 	next := send(t, newChat(t, i.url, true, nil))
 	require.NoError(t, next.err)
 	require.True(t, strings.HasSuffix(next.body, "[DONE]\n\n"))
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -21,38 +21,38 @@
 
 var rewrite = flag.Bool("rewrite", false, "rewrite the tables of docs/SETTINGS.md")
 
-const page = "../../docs/SETTINGS.md"
+const settingsPage = "../../docs/SETTINGS.md"
 
 // TestSettingsPage checks that the tables of the settings page match the types: the names,
 // defaults and doc comments of the fields.
 func TestSettingsPage(t *testing.T) {
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(settingsPage)
 	require.NoError(t, err)
 	want := string(text)
 	defaults := settings.Default()
-	want = fillTable(t, want, "settings.go", defaults)
-	want = fillTable(t, want, "settings.go", defaults.Bounds)
-	want = fillTable(t, want, "settings.go", defaults.Limits)
+	want = replaceTable(t, want, "settings.go", defaults)
+	want = replaceTable(t, want, "settings.go", defaults.Bounds)
+	want = replaceTable(t, want, "settings.go", defaults.Limits)
 	configDefaults := config.Defaults()
 	const types = "../core/config/types.go"
-	want = fillTable(t, want, types, configDefaults)
-	want = fillTable(t, want, types, configDefaults.Services[0])
-	want = fillTable(t, want, types, config.BackendServer{})
-	want = fillTable(t, want, types, config.Engine{})
-	want = fillTable(t, want, types, config.Route{})
-	want = fillTable(t, want, types, config.Share{})
-	want = fillTable(t, want, types, configDefaults.Customers[0])
-	want = fillTable(t, want, types, configDefaults.Claims)
-	want = fillTable(t, want, types, configDefaults.Limits)
+	want = replaceTable(t, want, types, configDefaults)
+	want = replaceTable(t, want, types, configDefaults.Services[0])
+	want = replaceTable(t, want, types, config.BackendServer{})
+	want = replaceTable(t, want, types, config.Engine{})
+	want = replaceTable(t, want, types, config.Route{})
+	want = replaceTable(t, want, types, config.Share{})
+	want = replaceTable(t, want, types, configDefaults.Customers[0])
+	want = replaceTable(t, want, types, configDefaults.Claims)
+	want = replaceTable(t, want, types, configDefaults.Limits)
 	if *rewrite {
-		require.NoError(t, os.WriteFile(page, []byte(want), 0o644))
+		require.NoError(t, os.WriteFile(settingsPage, []byte(want), 0o644))
 		return
 	}
 	require.Equal(t, want, string(text), "run go test ./internal/settings -rewrite")
 }
 
-// fillTable replaces the table of a struct between its begin and end markers in the page.
-func fillTable(t *testing.T, page, source string, value any) string {
+// replaceTable replaces the table of a struct between its begin and end markers in the page.
+func replaceTable(t *testing.T, page, source string, value any) string {
 	t.Helper()
 	name := reflect.TypeOf(value).Name()
 	begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->"
@@ -81,7 +81,7 @@
 	return "`" + string(text) + "`"
 }
 
-var space = regexp.MustCompile(`\s+`)
+var whitespace = regexp.MustCompile(`\s+`)
 
 // fieldDocs returns the doc comments of a struct's fields by field name, read from the source
 // file.
@@ -97,7 +97,7 @@
 		}
 		for _, f := range spec.Type.(*ast.StructType).Fields.List {
 			for _, id := range f.Names {
-				docs[id.Name] = strings.TrimSpace(space.ReplaceAllString(f.Doc.Text(), " "))
+				docs[id.Name] = strings.TrimSpace(whitespace.ReplaceAllString(f.Doc.Text(), " "))
 			}
 		}
 		return false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,8 +70,8 @@
 
 // The dialects.
 const (
-	Native   Dialect = "native"
-	Platform Dialect = "platform"
+	DialectNative   Dialect = "native"
+	DialectPlatform Dialect = "platform"
 )
 
 // Bounds are the guarantees for services whose configuration does not contain them.
@@ -132,7 +132,7 @@
 func Default() Settings {
 	return Settings{
 		AdminListen:    "127.0.0.1:7090",
-		Dialect:        Native,
+		Dialect:        DialectNative,
 		PlatformSettle: config.Duration(5 * time.Second),
 		AcceptDelay:    config.Duration(10 * time.Second),
 		Bounds:         Bounds{SkewBound: config.DefaultSkewBound, RetryShare: config.DefaultRetryShare},
@@ -187,16 +187,16 @@
 	}
 	checkAddress(doc, "listen", s.Listen)
 	checkAddress(doc, "admin_listen", s.AdminListen)
-	checkDialled(doc, "peer_listen", s.PeerListen)
+	checkDialable(doc, "peer_listen", s.PeerListen)
 	for i, seed := range s.Seeds {
-		checkDialled(doc, fmt.Sprintf("seeds[%d]", i), seed)
+		checkDialable(doc, fmt.Sprintf("seeds[%d]", i), seed)
 	}
-	checkDistinct(doc, s)
+	checkDistinctAddresses(doc, s)
 	if u, err := url.Parse(s.Platform); err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		doc.Add("platform", "platform %q, expected a URL such as http://10.0.0.1:7000", s.Platform)
 	}
-	if s.Dialect != Native && s.Dialect != Platform {
-		doc.Add("dialect", "dialect %q, expected %q or %q", s.Dialect, Native, Platform)
+	if s.Dialect != DialectNative && s.Dialect != DialectPlatform {
+		doc.Add("dialect", "dialect %q, expected %q or %q", s.Dialect, DialectNative, DialectPlatform)
 	}
 	if s.ReadyListen != "" {
 		checkAddress(doc, "ready_listen", s.ReadyListen)
@@ -223,16 +223,16 @@
 	}
 }
 
-// checkDialled adds a finding for an address that other instances cannot connect to.
-func checkDialled(doc *jsonc.Document, path, address string) {
+// checkDialable adds a finding for an address that other instances cannot connect to.
+func checkDialable(doc *jsonc.Document, path, address string) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
 		doc.Add(path, "%s %q, expected IP:port that other instances can connect to, such as 10.0.0.1:7081", path, address)
 	}
 }
 
-// checkDistinct adds a finding for an address that is used for two listeners.
-func checkDistinct(doc *jsonc.Document, s *Settings) {
+// checkDistinctAddresses adds a finding for an address that is used for two listeners.
+func checkDistinctAddresses(doc *jsonc.Document, s *Settings) {
 	seen := make(map[string]string)
 	for _, listener := range []struct{ path, address string }{
 		{"listen", s.Listen}, {"peer_listen", s.PeerListen}, {"admin_listen", s.AdminListen},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/ebonydyke/ebonydyke/internal/settings"
 )
 
-const base = `{
+const validSettings = `{
   // One entry instance.
   "name": "entry-1",
   "zone": "recife-a",
@@ -21,24 +21,24 @@
 }`
 
 func TestDefaults(t *testing.T) {
-	s, err := settings.Parse("s", []byte(base))
+	s, err := settings.Parse("s", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:7090", s.AdminListen)
 	require.Equal(t, config.Duration(10*time.Second), s.AcceptDelay)
 	require.Equal(t, settings.Default().Limits, s.Limits)
 }
 
-// TestAFractionOfARetry guards against rejecting a fractional retry_burst. A platform derives
+// TestFractionalRetryBurst guards against rejecting a fractional retry_burst. A platform derives
 // the value from the size of the fleet; while only whole numbers were accepted, the
 // instance did not start.
-func TestAFractionOfARetry(t *testing.T) {
-	s, err := settings.Parse("s", []byte(strings.Replace(base, `"name"`, `"bounds": {"retry_burst": 33.1578947368421}, "name"`, 1)))
+func TestFractionalRetryBurst(t *testing.T) {
+	s, err := settings.Parse("s", []byte(strings.Replace(validSettings, `"name"`, `"bounds": {"retry_burst": 33.1578947368421}, "name"`, 1)))
 	require.NoError(t, err)
 	require.InDelta(t, 33.1578947368421, s.Bounds.RetryBurst, 0)
 }
 
-// TestFindingsTogether checks that all findings of a file are reported together.
-func TestFindingsTogether(t *testing.T) {
+// TestReportsAllFindings checks that all findings of a file are reported together.
+func TestReportsAllFindings(t *testing.T) {
 	_, err := settings.Parse("s.json", []byte(`{
   "name": "entry 1",
   "listen": "localhost:80",
@@ -76,7 +76,7 @@
 `))
 }
 
-func TestAddressForTwoUses(t *testing.T) {
-	_, err := settings.Parse("s", []byte(strings.Replace(base, "0.0.0.0:7080", "10.20.1.5:7081", 1)))
+func TestDuplicateListenAddress(t *testing.T) {
+	_, err := settings.Parse("s", []byte(strings.Replace(validSettings, "0.0.0.0:7080", "10.20.1.5:7081", 1)))
 	require.EqualError(t, err, `s:6:18: peer_listen "10.20.1.5:7081" is already the address of listen, expected another`)
 }
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -26,43 +26,43 @@
 
 // Limits and timing of a backend server.
 const (
-	backendSlots = 16
-	eventPause   = 12 * time.Millisecond
-	// drainBound is how long a backend server may still receive new work after the store
-	// has recorded that it is leaving. drainServe is how long it continues to serve.
-	drainBound = 2 * time.Second
-	drainServe = 3 * time.Second
+	backendSlots  = 16
+	eventInterval = 12 * time.Millisecond
+	// newWorkGrace is how long a backend server may still receive new work after the store
+	// has recorded that it is leaving. drainDuration is how long it continues to serve.
+	newWorkGrace  = 2 * time.Second
+	drainDuration = 3 * time.Second
 )
 
-// sickness is a fault of a backend server.
-type sickness int32
+// backendFault is a fault of a backend server.
+type backendFault int32
 
 const (
-	sound sickness = iota
+	healthy backendFault = iota
 	// failing returns an error for half of the requests.
 	failing
-	// cutting truncates half of the plain responses and some of the streams.
-	cutting
-	// foreign returns the response to another request for some requests.
-	foreign
+	// truncating truncates half of the plain responses and some of the streams.
+	truncating
+	// swapping returns the response to another request for some requests.
+	swapping
 	// hanging never responds.
 	hanging
 )
 
 // backend is one backend server behind a relay; the store lists the address of the relay.
 type backend struct {
-	world  *World
-	name   string
-	zone   string
-	born   time.Time
-	server *http.Server
-	relay  *relay.Relay
-
-	sick    atomic.Int32
-	running atomic.Int32
-	// leftAt is when the store recorded that the server is leaving, in nanoseconds since the
+	world     *World
+	name      string
+	zone      string
+	startedAt time.Time
+	server    *http.Server
+	relay     *relay.Relay
+
+	fault    atomic.Int32
+	inFlight atomic.Int32
+	// leavingAt is when the store recorded that the server is leaving, in nanoseconds since the
 	// start of the soak. It is 0 before that and -1 after a crash.
-	leftAt atomic.Int64
+	leavingAt atomic.Int64
 
 	mu     sync.Mutex
 	random *rand.Rand
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	b := &backend{
-		world: w, name: name, zone: zone, relay: r, born: time.Now(),
+		world: w, name: name, zone: zone, relay: r, startedAt: time.Now(),
 		random: rand.New(rand.NewPCG(w.options.Seed, uint64(len(name)))),
 	}
 	b.server = &http.Server{Handler: b, IdleTimeout: 3 * time.Second}
@@ -90,12 +90,12 @@
 func (b *backend) register(leaving bool) {
 	b.world.store.Register(standin.Backend{
 		Name: b.name, Service: "work", Zone: b.zone, Address: b.relay.Address(), Slots: backendSlots,
-		Leaving: leaving, Born: b.born,
+		Draining: leaving, StartedAt: b.startedAt,
 	})
 }
 
-// end stops the backend server at once, as a crash does.
-func (b *backend) end() {
+// close stops the backend server at once, as a crash does.
+func (b *backend) close() {
 	b.relay.Close()
 	_ = b.server.Close()
 }
@@ -111,47 +111,47 @@
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt := standin.ReadAttempt(r)
 	if attempt.Expected != b.name {
-		standin.Misdirected(w, b.name)
+		standin.WriteMisdirected(w, b.name)
 		return
 	}
 	b.checkArrival(attempt)
-	standin.WriteID(w, attempt.ID)
-	standin.WriteLoad(w, int(b.running.Load()), backendSlots)
-	if b.running.Add(1) > 2*backendSlots {
-		b.running.Add(-1)
-		standin.NotStarted(w)
+	standin.SetRequestID(w, attempt.ID)
+	standin.SetLoad(w, int(b.inFlight.Load()), backendSlots)
+	if b.inFlight.Add(1) > 2*backendSlots {
+		b.inFlight.Add(-1)
+		standin.WriteNotStarted(w)
 		return
 	}
-	defer b.running.Add(-1)
+	defer b.inFlight.Add(-1)
 	kind, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	b.world.ledger.ran(attempt.ID, kind == kindOnce || kind == kindReview)
-	standin.WriteMark(w, markOf(attempt.ID))
-	b.work(w, r, attempt, kind)
+	b.world.recorder.recordRun(attempt.ID, kind == kindOnce || kind == kindReview)
+	standin.SetSeal(w, expectedMark(attempt.ID))
+	b.respond(w, r, attempt, kind)
 }
 
 // checkArrival checks the guarantees for every request that reaches a backend server.
 func (b *backend) checkArrival(attempt standin.Attempt) {
-	r := b.world.ledger
+	r := b.world.recorder
 	if attempt.Key != "" || attempt.Customer == "" {
-		r.broken("the key is not passed on", attempt.ID, "at "+b.name)
+		r.recordViolation("the key is not passed on", attempt.ID, "at "+b.name)
 	}
-	left := time.Duration(b.leftAt.Load())
-	if left > 0 && r.elapsed() > left+drainBound && b.world.calmSince(r.elapsed()-left) {
-		r.broken("a leaver gets no new work", attempt.ID, fmt.Sprintf("%s, %v after", b.name, r.elapsed()-left))
+	left := time.Duration(b.leavingAt.Load())
+	if left > 0 && r.elapsed() > left+newWorkGrace && b.world.undisturbedFor(r.elapsed()-left) {
+		r.recordViolation("a leaver gets no new work", attempt.ID, fmt.Sprintf("%s, %v after", b.name, r.elapsed()-left))
 	}
 }
 
-func (b *backend) work(w http.ResponseWriter, r *http.Request, attempt standin.Attempt, kind string) {
-	switch sickness(b.sick.Load()) {
+func (b *backend) respond(w http.ResponseWriter, r *http.Request, attempt standin.Attempt, kind string) {
+	switch backendFault(b.fault.Load()) {
 	case failing:
 		if b.chance(0.5) {
 			http.Error(w, "failed", http.StatusInternalServerError)
 			return
 		}
-	case foreign:
+	case swapping:
 		if b.chance(0.2) {
-			standin.WriteID(w, "another-request")
-			_, _ = fmt.Fprint(w, bodyOf("another-request"))
+			standin.SetRequestID(w, "another-request")
+			_, _ = fmt.Fprint(w, expectedBody("another-request"))
 			return
 		}
 	case hanging:
@@ -166,8 +166,8 @@
 		return
 	}
 	time.Sleep(10 * time.Millisecond)
-	body := bodyOf(attempt.ID)
-	if sickness(b.sick.Load()) == cutting && b.chance(0.5) {
+	body := expectedBody(attempt.ID)
+	if backendFault(b.fault.Load()) == truncating && b.chance(0.5) {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = fmt.Fprint(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
@@ -179,17 +179,17 @@
 	id := attempt.ID
 	w.Header().Set("Content-Type", "text/event-stream")
 	first, _ := strconv.Atoi(attempt.ResumeAfter)
-	for i := first + 1; i <= eventsOf(id); i++ {
-		if sickness(b.sick.Load()) == cutting && b.chance(0.1) {
+	for i := first + 1; i <= expectedEventCount(id); i++ {
+		if backendFault(b.fault.Load()) == truncating && b.chance(0.1) {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", i)
 			panic(http.ErrAbortHandler)
 		}
-		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, eventOf(id, i)); err != nil {
+		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, expectedEvent(id, i)); err != nil {
 			return
 		}
 		_ = http.NewResponseController(w).Flush()
 		select {
-		case <-time.After(eventPause):
+		case <-time.After(eventInterval):
 		case <-r.Context().Done():
 			return
 		}
@@ -199,19 +199,19 @@
 // The functions below derive the content of the correct response from the request's id, so
 // that the caller detects any other.
 
-// markOf returns the value of the response header Server-Seal.
-func markOf(id string) string { return strconv.FormatUint(hashOf(id), 36) }
+// expectedMark returns the value of the response header Server-Seal.
+func expectedMark(id string) string { return strconv.FormatUint(hashID(id), 36) }
 
-// bodyOf returns the body of a response that is not a stream.
-func bodyOf(id string) string { return strings.Repeat("answer to "+id+"\n", 20) }
+// expectedBody returns the body of a response that is not a stream.
+func expectedBody(id string) string { return strings.Repeat("answer to "+id+"\n", 20) }
 
-// eventsOf returns the number of events of a stream.
-func eventsOf(id string) int { return 5 + int(hashOf(id)%40) }
+// expectedEventCount returns the number of events of a stream.
+func expectedEventCount(id string) int { return 5 + int(hashID(id)%40) }
 
-// eventOf returns the data of the i-th event of a stream.
-func eventOf(id string, i int) string { return fmt.Sprintf("%s-%d", id, i) }
+// expectedEvent returns the data of the i-th event of a stream.
+func expectedEvent(id string, i int) string { return fmt.Sprintf("%s-%d", id, i) }
 
-func hashOf(id string) uint64 {
+func hashID(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -54,23 +54,23 @@
 // World is the state of one soak.
 type World struct {
 	options   Options
-	ledger    *ledger
+	recorder  *recorder
 	store     *standin.Server
 	instances []*instance
-	// versions is the random source of the steps between configuration versions. version
-	// is the next one, and keyed lists those that were written.
-	versions *rand.Rand
-	version  int
-	// given holds the addresses that were assigned to instances.
-	given map[string]bool
-	keyed []int
+	// versionSteps is the random source of the steps between configuration versions.
+	// nextVersion is the next one, and writtenVersions lists those that were written.
+	versionSteps *rand.Rand
+	nextVersion  int
+	// assignedAddresses holds the addresses that were assigned to instances.
+	assignedAddresses map[string]bool
+	writtenVersions   []int
 	// disturbedAt is the time of the last fault that may delay updates from the store, in
 	// nanoseconds since the start of the soak.
 	disturbedAt atomic.Int64
 
-	mu       sync.Mutex
-	backends []*backend
-	born     int
+	mu              sync.Mutex
+	backends        []*backend
+	backendsStarted int
 }
 
 // instance is one instance of the fleet. Its process may be replaced.
@@ -96,17 +96,17 @@
 	ended  chan struct{}
 }
 
-// calmSince reports whether no fault has delayed updates from the store for span plus 4 s.
+// undisturbedFor reports whether no fault has delayed updates from the store for span plus 4 s.
 // The 4 s let an instance that was cut off receive what it missed.
-func (w *World) calmSince(span time.Duration) bool {
+func (w *World) undisturbedFor(span time.Duration) bool {
 	const settle = 4 * time.Second
-	return w.ledger.elapsed()-time.Duration(w.disturbedAt.Load()) > span+settle
+	return w.recorder.elapsed()-time.Duration(w.disturbedAt.Load()) > span+settle
 }
 
-// disturbed records the time of a fault of the instance.
-func (i *instance) disturbed() {
-	i.disturbedAt.Store(int64(i.world.ledger.elapsed()))
-	i.world.disturbedAt.Store(int64(i.world.ledger.elapsed()))
+// markDisturbed records the time of a fault of the instance.
+func (i *instance) markDisturbed() {
+	i.disturbedAt.Store(int64(i.world.recorder.elapsed()))
+	i.world.disturbedAt.Store(int64(i.world.recorder.elapsed()))
 }
 
 // disturbedSince reports whether the instance had a fault after the given time or less than
@@ -120,8 +120,8 @@
 // Run runs one soak. It ends only processes that it has started.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	w := &World{
-		options: o, ledger: newLedger(), store: standin.New(),
-		versions: rand.New(rand.NewPCG(o.Seed, 1<<32)), version: 1, given: make(map[string]bool),
+		options: o, recorder: newRecorder(), store: standin.New(),
+		versionSteps: rand.New(rand.NewPCG(o.Seed, 1<<32)), nextVersion: 1, assignedAddresses: make(map[string]bool),
 	}
 	if err := w.start(); err != nil {
 		w.stop()
@@ -132,26 +132,26 @@
 	defer stopCalling()
 	var callers sync.WaitGroup
 	for n := range o.Callers {
-		callers.Go(func() { w.caller(callCtx, n) })
+		callers.Go(func() { w.runCaller(callCtx, n) })
 	}
-	callers.Go(func() { w.probe(callCtx) })
+	callers.Go(func() { w.probeVersions(callCtx) })
 	faultCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	w.strike(faultCtx)
-	w.checkAfterwards(ctx)
+	w.injectFaults(faultCtx)
+	w.checkRecovery(ctx)
 	stopCalling()
 	callers.Wait()
 	// Requests in transit may still run and violate a guarantee.
 	time.Sleep(time.Second)
-	w.ledger.mu.Lock()
-	defer w.ledger.mu.Unlock()
-	return &Result{Violations: w.ledger.violations, Counts: w.ledger.counts}, nil
+	w.recorder.mu.Lock()
+	defer w.recorder.mu.Unlock()
+	return &Result{Violations: w.recorder.violations, Counts: w.recorder.counts}, nil
 }
 
 // start starts the store, the backend servers and the instances.
 func (w *World) start() error {
 	server := httptest.NewServer(w.store)
-	w.configure()
+	w.writeNextConfig()
 	for n := range w.options.Backends {
 		if err := w.addBackend(fmt.Sprintf("zone-%d", n%3)); err != nil {
 			return err
@@ -170,35 +170,35 @@
 	return w.waitReady()
 }
 
-// configure writes the next version of the operators' configuration. The new version has
+// writeNextConfig writes the next version of the operators' configuration. The new version has
 // its own key and its own spare route in place of those of the previous version.
-func (w *World) configure() {
+func (w *World) writeNextConfig() {
 	route := func(name, kind string, runs int, resumable bool) standin.Route {
 		return standin.Route{
-			Name: name, Host: host, Prefix: "/" + name + "/", Service: "work", Kind: kind,
+			Name: name, Host: routeHost, Prefix: "/" + name + "/", Service: "work", Kind: kind,
 			MaxRuns: runs, Resumable: resumable, Timeout: routeTimeout,
 		}
 	}
 	w.store.Configure(standin.Config{
-		Version: w.version, Services: []string{"work"}, Customer: "t1",
-		Keys: []string{callerKey, fmt.Sprint("key-", w.version)},
+		Version: w.nextVersion, Services: []string{"work"}, Customer: "t1",
+		Keys: []string{callerKey, fmt.Sprint("key-", w.nextVersion)},
 		Routes: []standin.Route{
-			route(kindOnce, standin.Once, 1, false),
-			route(kindSafe, standin.Repeatable, 2, false),
+			route(kindOnce, standin.NonIdempotent, 1, false),
+			route(kindSafe, standin.Idempotent, 2, false),
 			route(kindStream, standin.Stream, 2, true),
 			route(kindReview, standin.Stream, 1, false),
-			route(fmt.Sprint("spare-", w.version), standin.Repeatable, 1, false),
+			route(fmt.Sprint("spare-", w.nextVersion), standin.Idempotent, 1, false),
 		},
 	})
-	w.keyed = append(w.keyed, w.version)
-	w.version += 1 + w.versions.IntN(3)
+	w.writtenVersions = append(w.writtenVersions, w.nextVersion)
+	w.nextVersion += 1 + w.versionSteps.IntN(3)
 }
 
 func (w *World) addBackend(zone string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.born++
-	b, err := w.newBackend(fmt.Sprintf("i-%d", w.born), zone)
+	w.backendsStarted++
+	b, err := w.newBackend(fmt.Sprintf("i-%d", w.backendsStarted), zone)
 	if err != nil {
 		return err
 	}
@@ -232,23 +232,23 @@
 // connection takes a port before its instance starts. Each soak draws from a block that
 // depends on its process id, because the ports of killed instances are briefly free.
 const (
-	lowPort    = 16_000
-	portBlock  = 190
-	portBlocks = 20
+	firstPort      = 16_000
+	portBlockSize  = 190
+	portBlockCount = 20
 )
 
 // freeAddress returns a random address that has no listener and is not assigned to another
 // instance. Instances bind their addresses later, so a free port alone is not enough.
 func (w *World) freeAddress() (string, error) {
-	low := lowPort + os.Getpid()%portBlocks*portBlock
+	low := firstPort + os.Getpid()%portBlockCount*portBlockSize
 	for range 1000 {
-		address := fmt.Sprintf("127.0.0.1:%d", low+rand.IntN(portBlock))
-		if w.given[address] {
+		address := fmt.Sprintf("127.0.0.1:%d", low+rand.IntN(portBlockSize))
+		if w.assignedAddresses[address] {
 			continue
 		}
 		l, err := net.Listen("tcp", address)
 		if err == nil {
-			w.given[address] = true
+			w.assignedAddresses[address] = true
 			return address, l.Close()
 		}
 	}
@@ -282,12 +282,12 @@
 	}()
 	i.current = started
 	i.starts++
-	i.disturbed()
+	i.markDisturbed()
 	return nil
 }
 
-// running returns the instance's current process, which may have ended.
-func (i *instance) running() *process {
+// currentProcess returns the instance's current process, which may have ended.
+func (i *instance) currentProcess() *process {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.current
@@ -295,7 +295,7 @@
 
 // signal sends a signal through the process handle. After the process has ended, its id may
 // belong to another process.
-func (p *process) signal(r *ledger, s syscall.Signal) {
+func (p *process) signal(r *recorder, s syscall.Signal) {
 	if err := p.handle.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		r.count("signal failed")
 	}
@@ -303,7 +303,7 @@
 
 // waitEnd waits until the process ends and kills it after the grace time, as the platform
 // does.
-func (p *process) waitEnd(r *ledger, grace time.Duration) (killed bool) {
+func (p *process) waitEnd(r *recorder, grace time.Duration) (killed bool) {
 	select {
 	case <-p.ended:
 		return false
@@ -335,8 +335,8 @@
 // stop ends everything that the soak has started.
 func (w *World) stop() {
 	for _, i := range w.instances {
-		if p := i.running(); p != nil {
-			p.signal(w.ledger, syscall.SIGKILL)
+		if p := i.currentProcess(); p != nil {
+			p.signal(w.recorder, syscall.SIGKILL)
 			<-p.ended
 		}
 		if i.store != nil {
@@ -344,6 +344,6 @@
 		}
 	}
 	for _, b := range w.backends {
-		b.end()
+		b.close()
 	}
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -15,12 +15,12 @@
 // killed it before its process had ended, and both restarted it. The first new process was
 // then untracked: no later fault reached it, and it outlived the soak and kept calling the
 // address of its store, which by then belonged to another soak.
-func TestTwoFaultsAtOnceLeaveOneProcess(t *testing.T) {
+func TestConcurrentFaultsStartOneProcess(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "daemon")
 	// The process takes 200 ms to end, so that the second fault occurs meanwhile.
 	script := "#!/bin/sh\ntrap 'sleep 0.2; exit 0' TERM\nwhile :; do sleep 0.05; done\n"
 	require.NoError(t, os.WriteFile(binary, []byte(script), 0o700))
-	w := &World{options: Options{Binary: binary}, ledger: newLedger()}
+	w := &World{options: Options{Binary: binary}, recorder: newRecorder()}
 	i := &instance{world: w, name: "entry-0", settings: filepath.Join(t.TempDir(), "entry-0.json")}
 	w.instances = []*instance{i}
 	t.Cleanup(w.stop)
@@ -28,13 +28,13 @@
 	time.Sleep(100 * time.Millisecond)
 
 	var faults sync.WaitGroup
-	faults.Go(func() { w.stopInstance(testBlow()) })
-	faults.Go(func() { w.killInstance(testBlow()) })
+	faults.Go(func() { w.stopInstance(testFaultParams()) })
+	faults.Go(func() { w.killInstance(testFaultParams()) })
 	faults.Wait()
 
 	require.Equal(t, 2, i.starts, "the first start and one restart after both faults")
 }
 
-func testBlow() blow {
-	return blow{random: rand.New(rand.NewPCG(1, 1)), length: 400 * time.Millisecond}
+func testFaultParams() faultParams {
+	return faultParams{random: rand.New(rand.NewPCG(1, 1)), duration: 400 * time.Millisecond}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,9 +20,9 @@
 	// ErrHistoryLost means that the store no longer has the changes after the requested revision,
 	// so the keys must be read again.
 	ErrHistoryLost = errors.New("store: history no longer kept")
-	// ErrNotDone means that the call certainly had no effect: it was never sent, or the store
+	// ErrNotApplied means that the call certainly had no effect: it was never sent, or the store
 	// refused it.
-	ErrNotDone = errors.New("store: not done")
+	ErrNotApplied = errors.New("store: not done")
 )
 
 // Item is a key with its value as last written.
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -18,22 +18,22 @@
 	// lost counts the notes whose caller has neither a response nor a correct refusal after its
 	// last attempt.
 	lost int
-	// doubled counts the notes that ran more than once.
-	doubled int
+	// duplicated counts the notes that ran more than once.
+	duplicated int
 	// falselyRefused counts the notes that ran although they were reported as not run.
 	falselyRefused int
 }
 
-// note sends a note until it is answered, reported as answered before, or out of attempts. Each
-// attempt uses the next instance, like a caller behind a load balancer. note returns the last
-// response and whether all responses said that the note did not run.
-func (f *fleet) note(key string, first, attempts int) (answer, bool) {
-	var last answer
+// sendUntilAnswered sends a note until it is answered, reported as answered before, or out of
+// attempts. Each attempt uses the next instance, like a caller behind a load balancer. It returns
+// the last response and whether all responses stated that the note did not run.
+func (f *fleet) sendUntilAnswered(key string, first, attempts int) (response, bool) {
+	var last response
 	notRun := true
 	for n := range attempts {
 		last = f.send(f.instances[(first+n)%len(f.instances)], key)
 		switch {
-		case last.outcome == "answered" || last.first == "answered":
+		case last.outcome == "answered" || last.firstOutcome == "answered":
 			return last, false
 		case last.outcome != "not-run":
 			notRun = false
@@ -43,9 +43,9 @@
 	return last, notRun
 }
 
-// storm sends notes from many concurrent callers while inject disturbs the fleet, and returns the
-// counts.
-func (f *fleet) storm(callers, each int, inject func()) counts {
+// sendConcurrently sends notes from many concurrent callers while inject disturbs the fleet, and
+// returns the counts.
+func (f *fleet) sendConcurrently(callers, each int, inject func()) counts {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	var c counts
@@ -54,7 +54,7 @@
 		group.Go(func() {
 			for n := range each {
 				key := fmt.Sprintf("note-%d-%d", caller, n)
-				last, notRun := f.note(key, caller+n, 20)
+				last, notRun := f.sendUntilAnswered(key, caller+n, 20)
 				mu.Lock()
 				ran := f.runs.count(key)
 				switch {
@@ -78,23 +78,23 @@
 	inject()
 	group.Wait()
 	f.runs.mu.Lock()
-	for _, n := range f.runs.of {
+	for _, n := range f.runs.byKey {
 		if n > 1 {
-			c.doubled++
+			c.duplicated++
 		}
 	}
 	f.runs.mu.Unlock()
 	f.t.Logf("answered %d, duplicate %d, claimed and never run %d, refused %d; lost %d, duplicated %d, falsely refused %d",
-		answered, duplicate, inDoubt, refused, c.lost, c.doubled, c.falselyRefused)
+		answered, duplicate, inDoubt, refused, c.lost, c.duplicated, c.falselyRefused)
 	return c
 }
 
 // Guards against a non-idempotent request that runs twice after the crash of an instance. The
 // instance is killed with requests in all stages: waiting for the claim, claimed and not sent, sent
 // and not answered. The callers, whose connections broke, retry through other instances.
-func TestKilledInstanceDoublesNoNote(t *testing.T) {
+func TestKilledInstanceDuplicatesNoRequest(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 2, 10*time.Millisecond)
-	c := f.storm(12, 25, func() {
+	c := f.sendConcurrently(12, 25, func() {
 		time.Sleep(300 * time.Millisecond)
 		f.instances[0].signal(t, syscall.SIGKILL)
 	})
@@ -105,11 +105,11 @@
 // instance that owns partitions of the claims ledger is suspended with writes in flight. Callers
 // time out and retry through other instances, which take over its partitions. Then the instance
 // resumes where it was.
-func TestFrozenInstanceWakesAndDoublesNoNote(t *testing.T) {
+func TestResumedInstanceDuplicatesNoRequest(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 2, 10*time.Millisecond)
 	f.callerTimeout = 500 * time.Millisecond
 	suspended := f.instances[1]
-	c := f.storm(12, 25, func() {
+	c := f.sendConcurrently(12, 25, func() {
 		for range 2 {
 			time.Sleep(200 * time.Millisecond)
 			suspended.signal(t, syscall.SIGSTOP)
@@ -124,23 +124,23 @@
 // seconds. Idempotent requests in this zone are still served. Notes, which need the claims ledger,
 // are refused there without a run and succeed through the other zone. After the partition the zone
 // has the configuration that was accepted in the meantime.
-func TestZoneCutOffServesAndCatchesUp(t *testing.T) {
+func TestPartitionedZoneServesAndCatchesUp(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 2, 10*time.Millisecond)
 	setPartition := func(on bool) {
-		setCut(f.store["b"], on)
+		setPartitioned(f.storeRelays["b"], on)
 		for _, zone := range []string{"a", "b"} {
-			for _, r := range f.links[zone] {
-				setCut(r, on)
+			for _, r := range f.peerRelays[zone] {
+				setPartitioned(r, on)
 			}
 		}
 	}
 	served, refused := 0, 0
-	c := f.storm(8, 20, func() {
+	c := f.sendConcurrently(8, 20, func() {
 		time.Sleep(200 * time.Millisecond)
 		setPartition(true)
-		f.apply(2, f.text([]string{"a", "b"}, 0))
+		f.applyConfig(2, f.newConfig([]string{"a", "b"}, 0))
 		for n := range 20 {
-			req, err := http.NewRequest(http.MethodGet, "http://"+f.instances[1].callers+"/services/notes/list", nil)
+			req, err := http.NewRequest(http.MethodGet, "http://"+f.instances[1].callerAddr+"/services/notes/list", nil)
 			require.NoError(t, err)
 			req.Header.Set("Ebonydyke-Customer", "committee")
 			req.Header.Set("Note", fmt.Sprintf("list-%d", n))
@@ -168,15 +168,15 @@
 
 // Guards against an operator's edit that doesn't reach some instance. Eight processes in two
 // availability zones must all have each of several edits in force within the timeout.
-func TestEditIsInForceOnEightInstances(t *testing.T) {
+func TestEditReachesEightInstances(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 4, 0)
 	for generation := uint64(2); generation <= 4; generation++ {
 		accepted := time.Now()
-		f.apply(generation, f.text([]string{"a", "b"}, 0))
+		f.applyConfig(generation, f.newConfig([]string{"a", "b"}, 0))
 		for _, i := range f.instances {
 			f.waitGeneration(i, generation)
 		}
-		t.Logf("generation %d in force on all 8 after %v", generation, time.Since(accepted).Round(poll))
+		t.Logf("generation %d in force on all 8 after %v", generation, time.Since(accepted).Round(pollInterval))
 	}
 }
 
@@ -184,13 +184,13 @@
 // one availability zone are replaced one by one, then those of the other zone two at a time. A
 // caller whose connection is refused uses the next instance, like a load balancer. Throughout the
 // replacement, notes wait for their claims and for their responses.
-func TestRollingReplacementLosesNothing(t *testing.T) {
+func TestRollingReplacementLosesNoRequest(t *testing.T) {
 	f := startFleet(t, []string{"a", "b"}, 4, 50*time.Millisecond)
 	zone := make(map[string][]*instance)
 	for _, i := range f.instances {
 		zone[i.zone] = append(zone[i.zone], i)
 	}
-	c := f.storm(12, 60, func() {
+	c := f.sendConcurrently(12, 60, func() {
 		for _, i := range zone["a"] {
 			f.replace(i)
 		}
@@ -207,8 +207,8 @@
 	}
 	for _, i := range list {
 		select {
-		case <-i.ended:
-		case <-time.After(patience):
+		case <-i.exited:
+		case <-time.After(waitTimeout):
 			f.t.Errorf("%s does not exit", i.name)
 			return
 		}
--- a/test/fleet/harness_test.go
+++ b/test/fleet/harness_test.go
@@ -32,13 +32,13 @@
 )
 
 const (
-	// patience is the timeout of every wait for an expected event.
-	patience = 30 * time.Second
-	poll     = 20 * time.Millisecond
+	// waitTimeout is the timeout of every wait for an expected event.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// binary is the daemon that TestMain built.
-var binary string
+// daemonPath is the daemon that TestMain built.
+var daemonPath string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
@@ -51,8 +51,8 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	binary = filepath.Join(dir, "ebonydyked")
-	build := exec.Command("go", "build", "-o", binary, "../../cmd/ebonydyked")
+	daemonPath = filepath.Join(dir, "ebonydyked")
+	build := exec.Command("go", "build", "-o", daemonPath, "../../cmd/ebonydyked")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
@@ -67,42 +67,42 @@
 	return r
 }
 
-// setCut resets the open connections of a relay and refuses new ones, or ends that fault. A
+// setPartitioned resets the open connections of a relay and refuses new ones, or ends that fault. A
 // connection that is being established in the meantime is reset at its first byte.
-func setCut(r *relay.Relay, partitioned bool) {
+func setPartitioned(r *relay.Relay, partitioned bool) {
 	if !partitioned {
-		r.Set(relay.None)
+		r.SetFaults(relay.NoFaults)
 		return
 	}
-	r.Set(relay.Faults{Refuse: true})
-	r.Cut()
+	r.SetFaults(relay.Faults{Refuse: true})
+	r.ResetConns()
 }
 
 // runs counts the runs of each key over all backend servers.
 type runs struct {
-	mu sync.Mutex
-	of map[string]int
+	mu    sync.Mutex
+	byKey map[string]int
 }
 
 func (r *runs) add(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.of[key]++
+	r.byKey[key]++
 }
 
 func (r *runs) count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.of[key]
+	return r.byKey[key]
 }
 
 // instance is one process of the fleet.
 type instance struct {
-	name, zone          string
-	callers, peers, ops string
-	settings            string
-	process             *exec.Cmd
-	ended               chan struct{}
+	name, zone                      string
+	callerAddr, peerAddr, adminAddr string
+	settingsFile                    string
+	process                         *exec.Cmd
+	exited                          chan struct{}
 }
 
 func (i *instance) signal(t *testing.T, s syscall.Signal) {
@@ -115,11 +115,11 @@
 	platform  *standin.Server
 	runs      *runs
 	instances []*instance
-	// store holds, by zone, the relay through which the zone connects to the platform.
-	store map[string]*relay.Relay
-	// links holds, by zone and name of an instance in another zone, the relay through which the
-	// zone connects to that instance's peer port.
-	links map[string]map[string]*relay.Relay
+	// storeRelays holds, by zone, the relay through which the zone connects to the platform.
+	storeRelays map[string]*relay.Relay
+	// peerRelays holds, by zone and name of an instance in another zone, the relay through which
+	// the zone connects to that instance's peer port.
+	peerRelays map[string]map[string]*relay.Relay
 	// callerTimeout is the timeout of a caller's request.
 	callerTimeout time.Duration
 }
@@ -128,19 +128,19 @@
 // delay.
 func startFleet(t *testing.T, zones []string, perZone int, delay time.Duration) *fleet {
 	f := &fleet{
-		t: t, platform: standin.New(), runs: &runs{of: make(map[string]int)},
-		store: make(map[string]*relay.Relay), links: make(map[string]map[string]*relay.Relay),
-		callerTimeout: patience,
+		t: t, platform: standin.New(), runs: &runs{byKey: make(map[string]int)},
+		storeRelays: make(map[string]*relay.Relay), peerRelays: make(map[string]map[string]*relay.Relay),
+		callerTimeout: waitTimeout,
 	}
 	for n := range perZone {
 		for _, zone := range zones {
-			f.instances = append(f.instances, f.prepare(fmt.Sprintf("entry-%s-%d", zone, n), zone))
+			f.instances = append(f.instances, f.newInstance(fmt.Sprintf("entry-%s-%d", zone, n), zone))
 		}
 	}
 	for _, zone := range zones {
-		f.openZone(zone)
+		f.startZoneRelays(zone)
 	}
-	f.apply(1, f.text(zones, delay))
+	f.applyConfig(1, f.newConfig(zones, delay))
 	for _, i := range f.instances {
 		f.start(i)
 	}
@@ -158,9 +158,9 @@
 	highPort = 32_700
 )
 
-// given holds the ports that freeAddress has returned. It returns none twice, because the instances
-// bind their ports only later.
-var given = make(map[int]bool)
+// usedPorts holds the ports that freeAddress has returned. It returns none twice, because the
+// instances bind their ports only later.
+var usedPorts = make(map[int]bool)
 
 func freeAddress(t *testing.T) string {
 	for {
@@ -171,49 +171,50 @@
 			continue
 		}
 		require.NoError(t, l.Close())
-		if given[port] {
+		if usedPorts[port] {
 			continue
 		}
-		given[port] = true
+		usedPorts[port] = true
 		return address
 	}
 }
 
-func (f *fleet) prepare(name, zone string) *instance {
+func (f *fleet) newInstance(name, zone string) *instance {
 	return &instance{
 		name: name, zone: zone,
-		callers: freeAddress(f.t), peers: freeAddress(f.t), ops: freeAddress(f.t),
+		callerAddr: freeAddress(f.t), peerAddr: freeAddress(f.t), adminAddr: freeAddress(f.t),
 	}
 }
 
 // instancePrefix is the prefix of the instances' keys in the store.
 const instancePrefix = "ebonydyke/instances/"
 
-// openZone starts the relays of a zone to the store and to the instances of the other zones. In the
-// zone's view of the store, the entries of these instances contain the addresses of the relays.
-func (f *fleet) openZone(zone string) {
-	f.links[zone] = make(map[string]*relay.Relay)
+// startZoneRelays starts the relays of a zone to the store and to the instances of the other zones.
+// In the zone's view of the store, the entries of these instances contain the addresses of the
+// relays.
+func (f *fleet) startZoneRelays(zone string) {
+	f.peerRelays[zone] = make(map[string]*relay.Relay)
 	for _, i := range f.instances {
 		if i.zone != zone {
-			f.links[zone][i.name] = newRelay(f.t, i.peers)
+			f.peerRelays[zone][i.name] = newRelay(f.t, i.peerAddr)
 		}
 	}
 	server := httptest.NewServer(standin.ReplaceRange(f.platform, instancePrefix, func() map[string][]byte {
-		return f.entries(zone)
+		return f.instanceEntries(zone)
 	}))
 	f.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	f.store[zone] = newRelay(f.t, strings.TrimPrefix(server.URL, "http://"))
+	f.storeRelays[zone] = newRelay(f.t, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// entries returns the instances' entries in a zone's view of the store.
-func (f *fleet) entries(zone string) map[string][]byte {
+// instanceEntries returns the instances' entries in a zone's view of the store.
+func (f *fleet) instanceEntries(zone string) map[string][]byte {
 	entries := make(map[string][]byte)
 	for _, i := range f.instances {
-		address := i.peers
-		if r := f.links[zone][i.name]; r != nil {
+		address := i.peerAddr
+		if r := f.peerRelays[zone][i.name]; r != nil {
 			address = r.Address()
 		}
 		value, err := json.Marshal(membership.Member{
@@ -226,8 +227,9 @@
 	return entries
 }
 
-// text returns a configuration with one plain service and starts one backend server of it per zone.
-func (f *fleet) text(zones []string, delay time.Duration) string {
+// newConfig returns a configuration with one plain service and starts one backend server of it per
+// zone.
+func (f *fleet) newConfig(zones []string, delay time.Duration) string {
 	var servers []config.BackendServer
 	for _, zone := range zones {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -252,8 +254,8 @@
 	return string(text)
 }
 
-// apply writes a configuration to the store, as the operators' tool does.
-func (f *fleet) apply(generation uint64, text string) {
+// applyConfig writes a configuration to the store, as the operators' tool does.
+func (f *fleet) applyConfig(generation uint64, text string) {
 	value, err := json.Marshal(config.Envelope{Generation: generation, Edit: fmt.Sprint("edit-", generation), Text: text})
 	require.NoError(f.t, err)
 	f.platform.Put(core.ConfigKey, value)
@@ -261,20 +263,20 @@
 
 func (f *fleet) start(i *instance) {
 	settings, err := json.Marshal(map[string]string{
-		"name": i.name, "zone": i.zone, "listen": i.callers, "peer_listen": i.peers,
-		"admin_listen": i.ops, "platform": "http://" + f.store[i.zone].Address(),
+		"name": i.name, "zone": i.zone, "listen": i.callerAddr, "peer_listen": i.peerAddr,
+		"admin_listen": i.adminAddr, "platform": "http://" + f.storeRelays[i.zone].Address(),
 		"accept_delay": "200ms",
 	})
 	require.NoError(f.t, err)
-	i.settings = filepath.Join(f.t.TempDir(), i.name+".json")
-	require.NoError(f.t, os.WriteFile(i.settings, settings, 0o600))
-	i.process = exec.Command(binary, "--settings", i.settings)
-	log, err := os.Create(i.settings + ".log")
+	i.settingsFile = filepath.Join(f.t.TempDir(), i.name+".json")
+	require.NoError(f.t, os.WriteFile(i.settingsFile, settings, 0o600))
+	i.process = exec.Command(daemonPath, "--settings", i.settingsFile)
+	log, err := os.Create(i.settingsFile + ".log")
 	require.NoError(f.t, err)
 	i.process.Stdout, i.process.Stderr = log, log
 	require.NoError(f.t, i.process.Start())
-	i.ended = make(chan struct{})
-	process, exited := i.process, i.ended
+	i.exited = make(chan struct{})
+	process, exited := i.process, i.exited
 	go func() {
 		_ = process.Wait()
 		_ = log.Close()
@@ -284,7 +286,7 @@
 		_ = process.Process.Kill()
 		<-exited
 		if f.t.Failed() {
-			lines, _ := os.ReadFile(i.settings + ".log")
+			lines, _ := os.ReadFile(i.settingsFile + ".log")
 			f.t.Logf("%s:\n%.4000s", i.name, lines)
 		}
 	})
@@ -294,7 +296,7 @@
 // instance can't be reached.
 func (f *fleet) generation(i *instance) uint64 {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + i.ops + "/status")
+	resp, err := client.Get("http://" + i.adminAddr + "/status")
 	if err != nil {
 		return 0
 	}
@@ -308,24 +310,24 @@
 
 func (f *fleet) waitGeneration(i *instance, generation uint64) {
 	f.t.Helper()
-	require.Eventually(f.t, func() bool { return f.generation(i) == generation }, patience, poll, "%s has generation %d", i.name, generation)
+	require.Eventually(f.t, func() bool { return f.generation(i) == generation }, waitTimeout, pollInterval, "%s has generation %d", i.name, generation)
 }
 
-// answer is the response that a caller received.
-type answer struct {
-	status  int
-	outcome string
-	reason  string
-	first   string
-	body    string
+// response holds the parts of a response that a caller received.
+type response struct {
+	status       int
+	outcome      string
+	reason       string
+	firstOutcome string
+	body         string
 }
 
 // send sends a note, which must run at most once. It returns status 0 if the request failed without
 // a complete response.
-func (f *fleet) send(i *instance, key string) answer {
-	req, err := http.NewRequest(http.MethodPost, "http://"+i.callers+"/services/notes/approve", strings.NewReader("note "+key))
+func (f *fleet) send(i *instance, key string) response {
+	req, err := http.NewRequest(http.MethodPost, "http://"+i.callerAddr+"/services/notes/approve", strings.NewReader("note "+key))
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	req.Header.Set("Ebonydyke-Customer", "committee")
 	req.Header.Set("Ebonydyke-Idempotent", "false")
@@ -335,20 +337,20 @@
 	return f.do(req)
 }
 
-func (f *fleet) do(req *http.Request) answer {
+func (f *fleet) do(req *http.Request) response {
 	client := http.Client{Timeout: f.callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
-	return answer{
+	return response{
 		status: resp.StatusCode, body: string(body),
 		outcome: resp.Header.Get("Ebonydyke-Outcome"), reason: resp.Header.Get("Ebonydyke-Reason"),
-		first: resp.Header.Get("Ebonydyke-First"),
+		firstOutcome: resp.Header.Get("Ebonydyke-First"),
 	}
 }
--- a/test/relay/relay.go
+++ b/test/relay/relay.go
@@ -17,30 +17,30 @@
 	target   string
 	listener net.Listener
 
-	mu     sync.Mutex
-	resume *sync.Cond
-	faults Faults
-	conns  map[net.Conn]struct{}
+	mu            sync.Mutex
+	faultsChanged *sync.Cond
+	faults        Faults
+	conns         map[net.Conn]struct{}
 }
 
 // Faults are the faults that the relay injects into connections. The zero value resets connections
-// at once, so start from None.
+// at once, so start from NoFaults.
 type Faults struct {
 	// Delay is the delay of each chunk of data.
 	Delay time.Duration
-	// Frozen stops all traffic without closing connections, like a cut cable.
-	Frozen bool
+	// Blackhole stops all traffic without closing connections, like a cut cable.
+	Blackhole bool
 	// Refuse resets new connections at once.
 	Refuse bool
-	// CutForward and CutBack are the numbers of bytes that a connection transfers to and from
-	// the target before it is reset, or NoLimit.
-	CutForward, CutBack int
-	// Once removes all faults after the first reset of a connection by CutForward or CutBack.
-	Once bool
+	// ForwardLimit and BackwardLimit are the numbers of bytes that a connection transfers to and
+	// from the target before it is reset, or NoLimit.
+	ForwardLimit, BackwardLimit int
+	// OneShot removes all faults after the first reset by ForwardLimit or BackwardLimit.
+	OneShot bool
 }
 
-// None injects no faults.
-var None = Faults{CutForward: NoLimit, CutBack: NoLimit}
+// NoFaults injects no faults.
+var NoFaults = Faults{ForwardLimit: NoLimit, BackwardLimit: NoLimit}
 
 // Start starts a relay to target on a free port.
 func Start(target string) (*Relay, error) {
@@ -48,8 +48,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{target: target, listener: l, faults: None, conns: make(map[net.Conn]struct{})}
-	r.resume = sync.NewCond(&r.mu)
+	r := &Relay{target: target, listener: l, faults: NoFaults, conns: make(map[net.Conn]struct{})}
+	r.faultsChanged = sync.NewCond(&r.mu)
 	go r.accept()
 	return r, nil
 }
@@ -57,16 +57,16 @@
 // Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set changes the faults, also for open connections.
-func (r *Relay) Set(f Faults) {
+// SetFaults changes the faults, also for open connections.
+func (r *Relay) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
-	r.resume.Broadcast()
+	r.faultsChanged.Broadcast()
 }
 
-// Cut resets every open connection.
-func (r *Relay) Cut() {
+// ResetConns resets every open connection.
+func (r *Relay) ResetConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -77,8 +77,8 @@
 // Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
-	r.Set(None)
-	r.Cut()
+	r.SetFaults(NoFaults)
+	r.ResetConns()
 }
 
 func (r *Relay) accept() {
@@ -87,12 +87,12 @@
 		if err != nil {
 			return
 		}
-		go r.carry(client)
+		go r.serve(client)
 	}
 }
 
-func (r *Relay) carry(client net.Conn) {
-	if r.current().Refuse {
+func (r *Relay) serve(client net.Conn) {
+	if r.currentFaults().Refuse {
 		reset(client)
 		return
 	}
@@ -101,12 +101,12 @@
 		reset(client)
 		return
 	}
-	r.hold(client, server)
+	r.track(client, server)
 	var both sync.WaitGroup
-	both.Go(func() { r.pipe(server, client, func(f Faults) int { return f.CutForward }) })
-	both.Go(func() { r.pipe(client, server, func(f Faults) int { return f.CutBack }) })
+	both.Go(func() { r.pipe(server, client, func(f Faults) int { return f.ForwardLimit }) })
+	both.Go(func() { r.pipe(client, server, func(f Faults) int { return f.BackwardLimit }) })
 	both.Wait()
-	r.drop(client, server)
+	r.closeConns(client, server)
 }
 
 // pipe copies one direction until its end. At the byte limit it resets both connections.
@@ -115,12 +115,12 @@
 	transferred := 0
 	for {
 		n, err := from.Read(buffer)
-		f := r.wait()
+		f := r.waitUnblocked()
 		left := limit(f)
 		if n > 0 && left != NoLimit && transferred+n >= left {
 			_, _ = to.Write(buffer[:max(0, left-transferred)])
-			if f.Once {
-				r.Set(None)
+			if f.OneShot {
+				r.SetFaults(NoFaults)
 			}
 			time.Sleep(time.Millisecond)
 			reset(to)
@@ -140,23 +140,23 @@
 	}
 }
 
-// wait blocks while the relay is frozen and returns the current faults.
-func (r *Relay) wait() Faults {
+// waitUnblocked blocks while Blackhole is set and returns the current faults.
+func (r *Relay) waitUnblocked() Faults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.faults.Frozen {
-		r.resume.Wait()
+	for r.faults.Blackhole {
+		r.faultsChanged.Wait()
 	}
 	return r.faults
 }
 
-func (r *Relay) current() Faults {
+func (r *Relay) currentFaults() Faults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.faults
 }
 
-func (r *Relay) hold(conns ...net.Conn) {
+func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (r *Relay) drop(conns ...net.Conn) {
+func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
--- a/test/sessions/processes_test.go
+++ b/test/sessions/processes_test.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	processWait = 15 * time.Second
-	processPoll = 20 * time.Millisecond
+	processTimeout      = 15 * time.Second
+	processPollInterval = 20 * time.Millisecond
 )
 
 // fleet is a fake platform, two fake engines and three instances, each in its own process.
 type fleet struct {
-	t    *testing.T
-	bin  string
-	dir  string
-	port []string
+	t     *testing.T
+	bin   string
+	dir   string
+	ports []string
 
 	engines   map[string]*exec.Cmd
 	instances []*exec.Cmd
@@ -39,7 +39,7 @@
 const processSettings = `{"name": "entry-%d", "zone": "zone-1", "listen": "%s", "peer_listen": "%s", "admin_listen": "%s",
 "platform": "http://%s", "accept_delay": "300ms", "limits": {"drain_idle": "200ms", "accept_quiet": "1s"}}`
 
-const processText = `{"services": [{"name": "underwriting", "kind": "model", "capacity": 4096, "backend_servers": [
+const processConfig = `{"services": [{"name": "underwriting", "kind": "model", "capacity": 4096, "backend_servers": [
   {"name": "engine-a", "address": "%s", "zone": "zone-1"}, {"name": "engine-b", "address": "%s", "zone": "zone-1"}]}],
   "customers": [{"name": "branch-recife"}]}`
 
@@ -49,7 +49,7 @@
 	t.Helper()
 	readSources(t)
 	f := &fleet{t: t, bin: buildPrograms(t), dir: t.TempDir(), engines: make(map[string]*exec.Cmd)}
-	f.port = reservePorts(t.Cleanup, 3+3*fleetInstances)
+	f.ports = reservePorts(t.Cleanup, 3+3*fleetInstances)
 	f.start("standin", "--listen", f.address(0), "platform")
 	for i, name := range []string{"engine-a", "engine-b"} {
 		f.engines[name] = f.start("standin", "--listen", f.address(1+i), "engine", "--name", name,
@@ -62,20 +62,20 @@
 		f.instances = append(f.instances, f.start("ebonydyked", "--settings", file))
 	}
 	text := filepath.Join(f.dir, "fleet.json")
-	require.NoError(t, os.WriteFile(text, fmt.Appendf(nil, processText, f.address(1), f.address(2)), 0o600))
+	require.NoError(t, os.WriteFile(text, fmt.Appendf(nil, processConfig, f.address(1), f.address(2)), 0o600))
 	require.Eventually(t, func() bool {
 		return exec.Command(filepath.Join(f.bin, "ebonyctl"), "--platform", "http://"+f.address(0), "apply", text).Run() == nil
-	}, processWait, processPoll)
+	}, processTimeout, processPollInterval)
 	for i := range fleetInstances {
 		require.Eventually(t, func() bool {
 			got, err := f.chat(i, nil)
 			return err == nil && got.status == http.StatusOK
-		}, processWait, processPoll)
+		}, processTimeout, processPollInterval)
 	}
 	return f
 }
 
-func (f *fleet) address(i int) string { return "127.0.0.1:" + f.port[i] }
+func (f *fleet) address(i int) string { return "127.0.0.1:" + f.ports[i] }
 
 // listen returns the address on which an instance accepts callers' requests.
 func (f *fleet) listen(i int) string { return f.address(3 + 3*i) }
@@ -117,12 +117,12 @@
 }
 
 func (f *fleet) chat(i int, h map[string]string) (chatReply, error) {
-	return f.chatThen(i, h, func(string) {})
+	return f.chatWithCallback(i, h, func(string) {})
 }
 
-// chatThen sends a chat request and calls onFirstByte with the name of the responding engine when
-// the first byte of the response has arrived.
-func (f *fleet) chatThen(i int, h map[string]string, onFirstByte func(backend string)) (chatReply, error) {
+// chatWithCallback sends a chat request and calls onFirstByte with the name of the responding
+// engine when the first byte of the response has arrived.
+func (f *fleet) chatWithCallback(i int, h map[string]string, onFirstByte func(backend string)) (chatReply, error) {
 	resp, err := http.DefaultClient.Do(f.request(i, h))
 	if err != nil {
 		return chatReply{}, err
@@ -141,23 +141,23 @@
 	return got, nil
 }
 
-var processToken = regexp.MustCompile(`"content":"(engine-[ab]-\d+)-\d+ "`)
+var processTokenPattern = regexp.MustCompile(`"content":"(engine-[ab]-\d+)-\d+ "`)
 
-// sources returns the number of tokens in the response by the run that generated them.
-func (r chatReply) sources() map[string]int {
+// tokensByRun returns the number of tokens in the response by the run that generated them.
+func (r chatReply) tokensByRun() map[string]int {
 	found := make(map[string]int)
-	for _, m := range processToken.FindAllStringSubmatch(r.body, -1) {
+	for _, m := range processTokenPattern.FindAllStringSubmatch(r.body, -1) {
 		found[m[1]]++
 	}
 	return found
 }
 
-func (r chatReply) requireWhole(t *testing.T, tokens int) {
+func (r chatReply) requireComplete(t *testing.T, tokens int) {
 	t.Helper()
 	require.NoError(t, r.err)
 	require.True(t, strings.HasSuffix(r.body, "data: [DONE]\n\n"), r.body)
-	require.Len(t, r.sources(), 1)
-	for _, n := range r.sources() {
+	require.Len(t, r.tokensByRun(), 1)
+	for _, n := range r.tokensByRun() {
 		require.Equal(t, tokens, n)
 	}
 }
@@ -166,19 +166,19 @@
 // that it can't mistake for the end of the stream, at its deadline if the engine is suspended. The
 // next turn is complete and comes from one run. The events that a suspended engine sends after it
 // resumes reach no caller.
-func TestEngineProcessKilledOrFrozen(t *testing.T) {
+func TestEngineProcessKilledOrSuspended(t *testing.T) {
 	const tokens = 20
 	for _, signal := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP} {
 		t.Run(signal.String(), func(t *testing.T) {
 			f := startFleet(t, tokens, 40*time.Millisecond)
 			first, err := f.chat(0, nil)
 			require.NoError(t, err)
-			first.requireWhole(t, tokens)
+			first.requireComplete(t, tokens)
 			// The engine of the second turn may differ from that of the first one. The first
 			// choice depended on load reports of another instance, which were up to half a
 			// second old.
 			var stopped *exec.Cmd
-			interrupted, err := f.chatThen(0, map[string]string{proxy.HeaderDeadline: "3000"}, func(backend string) {
+			interrupted, err := f.chatWithCallback(0, map[string]string{proxy.HeaderDeadline: "3000"}, func(backend string) {
 				stopped = f.engines[backend]
 				_ = stopped.Process.Signal(signal)
 			})
@@ -186,12 +186,12 @@
 			require.ErrorContains(t, interrupted.err, "unexpected EOF")
 			require.Contains(t, interrupted.body, "event: error\n")
 			require.NotContains(t, interrupted.body, "[DONE]")
-			require.Len(t, interrupted.sources(), 1)
+			require.Len(t, interrupted.tokensByRun(), 1)
 			_ = stopped.Process.Signal(syscall.SIGCONT)
 			for i := range fleetInstances {
 				next, err := f.chat(i, nil)
 				require.NoError(t, err)
-				next.requireWhole(t, tokens)
+				next.requireComplete(t, tokens)
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 	stop := make(chan struct{})
 	var workers sync.WaitGroup
 	for n := range 12 {
-		w := balancer.Worker{Request: func() *http.Request { return f.request(0, nil) }, Keep: n%3 != 0}
+		w := balancer.Worker{Request: func() *http.Request { return f.request(0, nil) }, KeepAlive: n%3 != 0}
 		workers.Go(func() { b.Run(stop, w) })
 	}
 	time.Sleep(200 * time.Millisecond)
@@ -222,8 +222,8 @@
 	}
 	close(stop)
 	workers.Wait()
-	t.Logf("whole %d, refused %d, lost %d %v", b.Whole.Load(), b.Refused.Load(), b.Lost.Load(), b.Losses())
+	t.Logf("whole %d, refused %d, lost %d %v", b.Completed.Load(), b.Refused.Load(), b.Lost.Load(), b.Losses())
 	require.Zero(t, b.Lost.Load())
 	require.Zero(t, b.Refused.Load())
-	require.NotZero(t, b.Whole.Load())
+	require.NotZero(t, b.Completed.Load())
 }
--- a/test/sessions/sessions_test.go
+++ b/test/sessions/sessions_test.go
@@ -35,7 +35,7 @@
 		"norm":     normMain,
 		"until":    untilMain,
 		"call":     callMain,
-		"together": togetherMain,
+		"together": parallelMain,
 	})
 }
 
@@ -49,7 +49,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata",
 		UpdateScripts: *update,
-		Cmds:          map[string]func(*testscript.TestScript, bool, []string){"fill": fill},
+		Cmds:          map[string]func(*testscript.TestScript, bool, []string){"fill": expandPorts},
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("PATH", bin+string(filepath.ListSeparator)+env.Getenv("PATH"))
 			env.Setenv("EXAMPLES", examples)
@@ -102,9 +102,9 @@
 // The ports of sessions are below the range from which the system takes the ports of outgoing
 // connections, so that no such connection can use one of them.
 const (
-	lowPort   = 20_000
-	blocks    = 600
-	blockSize = 16
+	firstPort     = 20_000
+	portBlocks    = 600
+	portBlockSize = 16
 )
 
 // reservePorts finds a block of free ports. The first port of the block stays bound until the
@@ -112,7 +112,7 @@
 // other ports are free until the session's processes bind them.
 func reservePorts(cleanup func(func()), n int) []string {
 	for {
-		first := lowPort + blockSize*rand.IntN(blocks)
+		first := firstPort + portBlockSize*rand.IntN(portBlocks)
 		mark, err := net.Listen("tcp", address(first))
 		if err != nil {
 			continue
@@ -141,8 +141,8 @@
 
 func address(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// fleetText is the initial configuration of most sessions.
-const fleetText = `{
+// fleetConfig is the initial configuration of most sessions.
+const fleetConfig = `{
   "services": [
     {"name": "portal", "kind": "plain", "backend_servers": [
       {"name": "portal-a", "address": "127.0.0.1:$PORTAL", "zone": "zone-1"}]},
@@ -155,7 +155,7 @@
 }
 `
 
-const settingsText = `{
+const instanceSettings = `{
   // One entry instance.
   "name": "entry-%[1]d",
   "zone": "zone-%[1]d",
@@ -169,9 +169,9 @@
 `
 
 func writeFiles(env *testscript.Env) error {
-	files := map[string]string{"fleet.json": fleetText}
+	files := map[string]string{"fleet.json": fleetConfig}
 	for i := 1; i <= 2; i++ {
-		files[fmt.Sprintf("entry-%d.json", i)] = fmt.Sprintf(settingsText, i)
+		files[fmt.Sprintf("entry-%d.json", i)] = fmt.Sprintf(instanceSettings, i)
 	}
 	for name, text := range files {
 		text = os.Expand(text, env.Getenv)
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// fill replaces the names of ports by the session's ports in files of a script.
-func fill(ts *testscript.TestScript, _ bool, files []string) {
+// expandPorts replaces the names of ports by the session's ports in files of a script.
+func expandPorts(ts *testscript.TestScript, _ bool, files []string) {
 	for _, name := range files {
 		text := os.Expand(ts.ReadFile(name), ts.Getenv)
 		ts.Check(os.WriteFile(ts.MkAbs(name), []byte(text), 0o600))
--- a/test/sessions/tools_test.go
+++ b/test/sessions/tools_test.go
@@ -29,8 +29,8 @@
 	os.Exit(code)
 }
 
-// varying lists the parts of an output that differ from run to run.
-var varying = []struct {
+// varyingParts lists the parts of an output that differ from run to run.
+var varyingParts = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
@@ -45,7 +45,7 @@
 		port, name, _ := strings.Cut(pair, "=")
 		text = strings.ReplaceAll(text, "127.0.0.1:"+port, "127.0.0.1:"+name)
 	}
-	for _, v := range varying {
+	for _, v := range varyingParts {
 		text = v.pattern.ReplaceAllString(text, v.text)
 	}
 	return text
@@ -91,9 +91,9 @@
 	}
 }
 
-// togetherMain runs commands, separated by --, in parallel and prints their exit codes in ascending
+// parallelMain runs commands, separated by --, in parallel and prints their exit codes in ascending
 // order.
-func togetherMain() {
+func parallelMain() {
 	var wg sync.WaitGroup
 	commands := splitCommands(os.Args[1:])
 	codes := make([]int, len(commands))
--- a/test/standin/balancer/balancer.go
+++ b/test/standin/balancer/balancer.go
@@ -24,11 +24,11 @@
 
 const (
 	dialTimeout = 10 * time.Second
-	// aliveWait is the read timeout of the check whether an idle connection was closed.
-	aliveWait = 200 * time.Microsecond
-	// maxLosses is the maximum number of errors, and of idle times, that are kept for the
+	// idleCheckTimeout is the read timeout of the check whether an idle connection was closed.
+	idleCheckTimeout = 200 * time.Microsecond
+	// maxSamples is the maximum number of errors, and of idle times, that are kept for the
 	// output of a failed test.
-	maxLosses = 16
+	maxSamples = 16
 )
 
 // Balancer is a load balancer.
@@ -37,11 +37,11 @@
 	addresses []string
 	next      int
 	losses    []error
-	silences  []time.Duration
+	idleTimes []time.Duration
 
-	// Whole, Refused and Lost count the requests by result: complete response, refusal, and
+	// Completed, Refused and Lost count the requests by result: complete response, refusal, and
 	// neither.
-	Whole, Refused, Lost atomic.Int64
+	Completed, Refused, Lost atomic.Int64
 }
 
 // Add adds an instance to the targets of new connections.
@@ -65,13 +65,13 @@
 	return slices.Clone(b.losses)
 }
 
-// Silences returns, for each of the first refused requests, the maximum time for which its
+// IdleTimes returns, for each of the first refused requests, the maximum time for which its
 // connection can have been idle when the request was written. This is the time since the previous
 // request was sent, or since the connection was requested.
-func (b *Balancer) Silences() []time.Duration {
+func (b *Balancer) IdleTimes() []time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.silences)
+	return slices.Clone(b.idleTimes)
 }
 
 // Connect opens a connection to the next instance, in round-robin order, that does not refuse it.
@@ -93,8 +93,8 @@
 type Worker struct {
 	// Request returns the next request.
 	Request func() *http.Request
-	// Keep reuses a connection until a response has "Connection: close".
-	Keep bool
+	// KeepAlive reuses a connection until a response has "Connection: close".
+	KeepAlive bool
 	// Pause is the pause between two requests.
 	Pause time.Duration
 }
@@ -109,12 +109,12 @@
 			return
 		default:
 		}
-		if conn == nil || closed(conn) {
+		if conn == nil || closedByPeer(conn) {
 			lastActive = time.Now()
 			var err error
 			if conn, err = b.Connect(); err != nil {
 				conn = nil
-				b.lose(fmt.Errorf("connect: %w", err))
+				b.recordLoss(fmt.Errorf("connect: %w", err))
 				continue
 			}
 		}
@@ -122,9 +122,9 @@
 		reusable, err := b.send(conn, w.Request(), lastActive)
 		lastActive = sending
 		if err != nil {
-			b.lose(err)
+			b.recordLoss(err)
 		}
-		if !reusable || !w.Keep {
+		if !reusable || !w.KeepAlive {
 			_ = conn.Close()
 			conn = nil
 		}
@@ -153,36 +153,36 @@
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		b.Whole.Add(1)
+		b.Completed.Add(1)
 	case resp.Header.Get(proxy.HeaderOutcome) == string(reason.NotRun):
-		b.refused(sent.Sub(lastActive))
+		b.recordRefusal(sent.Sub(lastActive))
 	default:
 		return false, fmt.Errorf("status %d, %s", resp.StatusCode, resp.Header.Get(proxy.HeaderReason))
 	}
 	return !resp.Close, nil
 }
 
-func (b *Balancer) refused(idle time.Duration) {
+func (b *Balancer) recordRefusal(idle time.Duration) {
 	b.Refused.Add(1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.silences) < maxLosses {
-		b.silences = append(b.silences, idle)
+	if len(b.idleTimes) < maxSamples {
+		b.idleTimes = append(b.idleTimes, idle)
 	}
 }
 
-func (b *Balancer) lose(err error) {
+func (b *Balancer) recordLoss(err error) {
 	b.Lost.Add(1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.losses) < maxLosses {
+	if len(b.losses) < maxSamples {
 		b.losses = append(b.losses, err)
 	}
 }
 
-// closed reports whether the peer closed an idle connection. If so, it closes the connection.
-func closed(conn net.Conn) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(aliveWait))
+// closedByPeer reports whether the peer closed an idle connection. If so, it closes the connection.
+func closedByPeer(conn net.Conn) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(idleCheckTimeout))
 	_, err := conn.Read(make([]byte, 1))
 	_ = conn.SetReadDeadline(time.Time{})
 	var netErr net.Error
--- a/test/standin/engine/engine.go
+++ b/test/standin/engine/engine.go
@@ -20,8 +20,8 @@
 // DefaultCacheChats is the default size of the prefix cache, in chats.
 const DefaultCacheChats = 1024
 
-// keptStreams is the number of finished streams that can still be resumed.
-const keptStreams = 256
+// maxFinishedStreams is the number of finished streams that can still be resumed.
+const maxFinishedStreams = 256
 
 // Server is one engine.
 type Server struct {
@@ -39,7 +39,7 @@
 
 	once   sync.Once
 	mux    *http.ServeMux
-	faults FaultSwitch
+	faults FaultInjector
 	mu     sync.Mutex
 	cache  *prefixCache
 
@@ -47,9 +47,9 @@
 	leaving     bool
 	sequence    int
 	streams     map[string]*stream
-	// done holds the finished streams that can still be resumed, the oldest first.
-	done  []*stream
-	stats Stats
+	// finishedStreams holds the finished streams that can still be resumed, the oldest first.
+	finishedStreams []*stream
+	stats           Stats
 }
 
 // Stats holds the counters of an engine.
@@ -96,24 +96,24 @@
 	var request struct {
 		Stream bool `json:"stream"`
 	}
-	if !web.Read(w, r, &request) {
+	if !web.ReadJSON(w, r, &request) {
 		return
 	}
 	f := s.faults.Next()
 	s.setHeaders(w)
-	if s.refuses(w, f) {
+	if s.refuse(w, f) {
 		return
 	}
-	st := s.begin(r, request.Stream)
-	defer s.end()
+	st := s.startRun(r, request.Stream)
+	defer s.endRun()
 	switch f.Kind {
-	case Swallow:
+	case NoResponse:
 		panic(http.ErrAbortHandler)
-	case Late:
+	case DelayResponse:
 		time.Sleep(f.Delay)
 	}
 	if request.Stream {
-		s.follow(w, r, st, 0, f)
+		s.sendEvents(w, r, st, 0, f)
 		return
 	}
 	text := fmt.Sprintf(`{"choices":[{"message":{"role":"assistant","content":"whole answer of %s to %s"}}]}`,
@@ -126,8 +126,9 @@
 	_, _ = fmt.Fprint(w, text)
 }
 
-// refuses reports whether the engine refuses the request, and then writes the response.
-func (s *Server) refuses(w http.ResponseWriter, f Fault) bool {
+// refuse refuses the request if the fault or the state of the engine requires it, and reports
+// whether it did.
+func (s *Server) refuse(w http.ResponseWriter, f Fault) bool {
 	s.mu.Lock()
 	leaving := s.leaving
 	s.mu.Unlock()
@@ -144,8 +145,8 @@
 	return true
 }
 
-// begin counts a run and creates its stream.
-func (s *Server) begin(r *http.Request, streamed bool) *stream {
+// startRun counts a run and creates its stream.
+func (s *Server) startRun(r *http.Request, streamed bool) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := r.Header.Get(proxy.HeaderKey)
@@ -163,7 +164,7 @@
 		}
 	}
 	s.sequence++
-	st := &stream{id: strconv.Itoa(s.sequence), begun: time.Now(), padding: strings.Repeat(".", s.Padding), tokens: s.Tokens, interval: s.Interval}
+	st := &stream{id: strconv.Itoa(s.sequence), startedAt: time.Now(), padding: strings.Repeat(".", s.Padding), tokens: s.Tokens, interval: s.Interval}
 	st.ctx, st.cancel = context.WithCancel(context.Background())
 	if streamed {
 		s.streams[st.id] = st
@@ -171,7 +172,7 @@
 	return st
 }
 
-func (s *Server) end() {
+func (s *Server) endRun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.InFlight--
@@ -193,19 +194,19 @@
 	return membership.Live
 }
 
-// follow sends the events of the stream that follow event number after.
-func (s *Server) follow(w http.ResponseWriter, r *http.Request, st *stream, after int, f Fault) {
+// sendEvents sends the events of the stream that follow event number after.
+func (s *Server) sendEvents(w http.ResponseWriter, r *http.Request, st *stream, after int, f Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(proxy.HeaderStreamID, st.id)
 	flusher := w.(http.Flusher)
 	flusher.Flush()
 	for n := after + 1; n <= st.tokens+1; n++ {
-		s.strike(r, f, n)
+		s.applyConnFault(r, f, n)
 		text, err := st.event(r.Context(), s.Name, n)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if f.Kind == NoEnd && n > st.tokens {
+		if f.Kind == NoEndMarker && n > st.tokens {
 			return
 		}
 		if f.Kind == Skip && n == f.After {
@@ -217,24 +218,24 @@
 		_, _ = fmt.Fprint(w, text)
 		flusher.Flush()
 	}
-	s.finished(st)
+	s.retainFinished(st)
 }
 
-// finished retains a completely sent stream until keptStreams later ones have finished. Its last
-// events may not have arrived, and the reader then resumes the stream.
-func (s *Server) finished(st *stream) {
+// retainFinished retains a completely sent stream until maxFinishedStreams later ones have
+// finished. Its last events may not have arrived, and the reader then resumes the stream.
+func (s *Server) retainFinished(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done = append(s.done, st)
-	if len(s.done) > keptStreams {
-		s.done[0].cancel()
-		delete(s.streams, s.done[0].id)
-		s.done = s.done[1:]
+	s.finishedStreams = append(s.finishedStreams, st)
+	if len(s.finishedStreams) > maxFinishedStreams {
+		s.finishedStreams[0].cancel()
+		delete(s.streams, s.finishedStreams[0].id)
+		s.finishedStreams = s.finishedStreams[1:]
 	}
 }
 
-// strike applies the faults that close or block a connection.
-func (s *Server) strike(r *http.Request, f Fault, next int) {
+// applyConnFault applies the faults that close or block a connection.
+func (s *Server) applyConnFault(r *http.Request, f Fault, next int) {
 	if next <= f.After {
 		return
 	}
@@ -266,8 +267,8 @@
 	s.stats.Resumed++
 	s.stats.InFlight++
 	s.mu.Unlock()
-	defer s.end()
-	s.follow(w, r, st, after, f)
+	defer s.endRun()
+	s.sendEvents(w, r, st, after, f)
 }
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
--- a/test/standin/engine/fault.go
+++ b/test/standin/engine/fault.go
@@ -21,12 +21,12 @@
 	Skip FaultKind = "skip"
 	// Repeat sends the event with number After twice.
 	Repeat FaultKind = "repeat"
-	// NoEnd ends the response with correct framing but without the end marker.
-	NoEnd FaultKind = "no-end"
-	// Swallow reads the whole request, runs it and closes the connection without a response.
-	Swallow FaultKind = "swallow"
-	// Late delays the response by Delay.
-	Late FaultKind = "late"
+	// NoEndMarker ends the response with correct framing but without the end marker.
+	NoEndMarker FaultKind = "no-end"
+	// NoResponse reads the whole request, runs it and closes the connection without a response.
+	NoResponse FaultKind = "swallow"
+	// DelayResponse delays the response by Delay.
+	DelayResponse FaultKind = "late"
 	// Refuse sends a response that states that the request was not started.
 	Refuse FaultKind = "refuse"
 	// Busy sends a bare 503, which leaves open whether the request was started.
@@ -44,14 +44,14 @@
 	Times int `json:"times,omitempty"`
 }
 
-// FaultSwitch holds the current fault.
-type FaultSwitch struct {
+// FaultInjector holds the current fault.
+type FaultInjector struct {
 	mu    sync.Mutex
 	fault Fault
 }
 
 // Set sets the fault for the next responses. An empty kind removes it.
-func (s *FaultSwitch) Set(f Fault) {
+func (s *FaultInjector) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f.Times = max(f.Times, 1)
@@ -59,7 +59,7 @@
 }
 
 // Next returns the fault for one response and counts it against Times.
-func (s *FaultSwitch) Next() Fault {
+func (s *FaultInjector) Next() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.fault
@@ -71,9 +71,9 @@
 }
 
 // ServeHTTP sets the fault from the JSON body of the request.
-func (s *FaultSwitch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *FaultInjector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if !web.Read(w, r, &f) {
+	if !web.ReadJSON(w, r, &f) {
 		return
 	}
 	s.Set(f)
@@ -92,6 +92,6 @@
 		st.cancel()
 	}
 	s.streams = make(map[string]*stream)
-	s.done = nil
+	s.finishedStreams = nil
 	s.cache = newPrefixCache(s.CacheChats)
 }
--- a/test/standin/engine/stream.go
+++ b/test/standin/engine/stream.go
@@ -9,10 +9,10 @@
 // stream is one streamed response. It continues without a reader until it is cancelled, so that a
 // reader can resume it after its connection broke.
 type stream struct {
-	id     string
-	ctx    context.Context
-	cancel context.CancelFunc
-	begun  time.Time
+	id        string
+	ctx       context.Context
+	cancel    context.CancelFunc
+	startedAt time.Time
 	// tokens and interval determine which events exist at a given time.
 	tokens   int
 	interval time.Duration
@@ -21,7 +21,7 @@
 
 // event returns the event with number n, waiting until it exists.
 func (st *stream) event(ctx context.Context, engine string, n int) (string, error) {
-	due := st.begun.Add(time.Duration(n-1) * st.interval)
+	due := st.startedAt.Add(time.Duration(n-1) * st.interval)
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	select {
--- a/test/standin/gate/gate.go
+++ b/test/standin/gate/gate.go
@@ -21,10 +21,10 @@
 	// are closed.
 	Silent bool `json:"silent,omitempty"`
 	// Busy refuses every call with status 503, or with 429 if Many is set as well.
-	Busy bool `json:"busy,omitempty"`
-	Many bool `json:"many,omitempty"`
-	// Only limits Down, Silent and Busy to callers from these IP addresses.
-	Only []string `json:"only,omitempty"`
+	Busy            bool `json:"busy,omitempty"`
+	TooManyRequests bool `json:"many,omitempty"`
+	// OnlyFrom limits Down, Silent and Busy to callers from these IP addresses.
+	OnlyFrom []string `json:"only,omitempty"`
 	// Delay is the delay before each call. It ends early if the faults change.
 	Delay config.Duration `json:"delay,omitempty"`
 	// LoseAnswers is the number of writes that take effect and get no response.
@@ -33,8 +33,8 @@
 	LoseWrites int `json:"lose_writes,omitempty"`
 }
 
-// Gate injects the faults.
-type Gate struct {
+// Injector injects the faults.
+type Injector struct {
 	mu     sync.Mutex
 	faults Faults
 	// changed is closed and replaced when the faults change.
@@ -42,10 +42,10 @@
 }
 
 // New returns a gate without faults.
-func New() *Gate { return &Gate{changed: make(chan struct{})} }
+func New() *Injector { return &Injector{changed: make(chan struct{})} }
 
 // SetFaults replaces all faults.
-func (g *Gate) SetFaults(f Faults) {
+func (g *Injector) SetFaults(f Faults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.faults = f
@@ -54,23 +54,23 @@
 }
 
 // ServeHTTP replaces all faults by those in the JSON body of the request.
-func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if web.Read(w, r, &f) {
+	if web.ReadJSON(w, r, &f) {
 		g.SetFaults(f)
 	}
 }
 
 // Current returns the faults and a channel that is closed when they change.
-func (g *Gate) Current() (Faults, <-chan struct{}) {
+func (g *Injector) Current() (Faults, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.faults, g.changed
 }
 
-// Loses reports whether the response to the next write is lost and whether the write takes effect.
-// It counts the write against LoseWrites or LoseAnswers.
-func (g *Gate) Loses() (lost, takesEffect bool) {
+// LoseWrite reports whether the response to the next write is lost and whether the write takes
+// effect. It counts the write against LoseWrites or LoseAnswers.
+func (g *Injector) LoseWrite() (lost, takesEffect bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -85,15 +85,15 @@
 	}
 }
 
-// Before returns a handler that applies the faults to each call before it passes the call to next.
+// Wrap returns a handler that applies the faults to each call before it passes the call to next.
 // Faults don't affect the calls for which exempt returns true.
-func (g *Gate) Before(next http.Handler, exempt func(*http.Request) bool) http.Handler {
+func (g *Injector) Wrap(next http.Handler, exempt func(*http.Request) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !exempt(r) {
 			g.delay(r)
 			f, changed := g.Current()
-			if f.concerns(r) {
-				turnAway(w, r, f, changed)
+			if f.appliesTo(r) {
+				injectFault(w, r, f, changed)
 				return
 			}
 		}
@@ -101,7 +101,7 @@
 	})
 }
 
-func (g *Gate) delay(r *http.Request) {
+func (g *Injector) delay(r *http.Request) {
 	f, changed := g.Current()
 	if f.Delay <= 0 {
 		return
@@ -113,17 +113,17 @@
 	}
 }
 
-// concerns reports whether Down, Silent or Busy applies to a call.
-func (f Faults) concerns(r *http.Request) bool {
+// appliesTo reports whether Down, Silent or Busy applies to a call.
+func (f Faults) appliesTo(r *http.Request) bool {
 	if !f.Down && !f.Silent && !f.Busy {
 		return false
 	}
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	return len(f.Only) == 0 || slices.Contains(f.Only, host)
+	return len(f.OnlyFrom) == 0 || slices.Contains(f.OnlyFrom, host)
 }
 
-// turnAway ends a call to which Down, Silent or Busy applies.
-func turnAway(w http.ResponseWriter, r *http.Request, f Faults, changed <-chan struct{}) {
+// injectFault ends a call to which Down, Silent or Busy applies.
+func injectFault(w http.ResponseWriter, r *http.Request, f Faults, changed <-chan struct{}) {
 	switch {
 	case f.Down:
 		panic(http.ErrAbortHandler)
@@ -133,9 +133,9 @@
 		case <-r.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
-	case f.Many:
-		web.Reply(w, http.StatusTooManyRequests, map[string]string{"error": "too many calls"})
+	case f.TooManyRequests:
+		web.WriteJSON(w, http.StatusTooManyRequests, map[string]string{"error": "too many calls"})
 	default:
-		web.Reply(w, http.StatusServiceUnavailable, map[string]string{"error": "busy"})
+		web.WriteJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "busy"})
 	}
 }
--- a/test/standin/main_test.go
+++ b/test/standin/main_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// asStandin is the environment variable that makes the test binary run the command instead of the
+// runMainEnv is the environment variable that makes the test binary run the command instead of the
 // tests.
-const asStandin = "EBONYDYKE_TEST_AS_STANDIN"
+const runMainEnv = "EBONYDYKE_TEST_AS_STANDIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asStandin) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		main()
 		return
 	}
@@ -27,11 +27,11 @@
 // Guards against a process that can't be stopped by an interrupt. Tests that a script starts in the
 // background inherit an ignored interrupt and pass it on to the processes that they start. The
 // session tests stop these by an interrupt and waited forever.
-func TestEndsByAnInterruptThatItsParentIgnores(t *testing.T) {
+func TestExitsOnInterruptIgnoredByParent(t *testing.T) {
 	signal.Ignore(os.Interrupt)
 	t.Cleanup(func() { signal.Reset(os.Interrupt) })
 	process := exec.Command(os.Args[0], "plain", "--name", "portal-a")
-	process.Env = append(os.Environ(), asStandin+"=1")
+	process.Env = append(os.Environ(), runMainEnv+"=1")
 	out, err := process.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, process.Start())
--- a/test/standin/plain/plain.go
+++ b/test/standin/plain/plain.go
@@ -19,7 +19,7 @@
 	// Name is the backend server's name. Its responses contain it.
 	Name string
 
-	faults engine.FaultSwitch
+	faults engine.FaultInjector
 	mu     sync.Mutex
 	runs   map[string]int
 }
@@ -49,19 +49,20 @@
 		return
 	default:
 	}
-	s.count(r)
+	s.countRun(r)
 	switch f.Kind {
-	case engine.Swallow:
+	case engine.NoResponse:
 		panic(http.ErrAbortHandler)
-	case engine.Late:
+	case engine.DelayResponse:
 		time.Sleep(f.Delay)
 	default:
 	}
 	_, _ = fmt.Fprintf(w, "%s %s by %s\n", r.Method, r.URL.Path, s.Name)
 }
 
-// count counts a run of the request by its idempotency key, or by its request ID if it has no key.
-func (s *Server) count(r *http.Request) {
+// countRun counts a run of the request by its idempotency key, or by its request ID if it has no
+// key.
+func (s *Server) countRun(r *http.Request) {
 	key := r.Header.Get(proxy.HeaderKey)
 	if key == "" {
 		key = r.Header.Get(proxy.HeaderRequestID)
--- a/test/standin/web/web.go
+++ b/test/standin/web/web.go
@@ -6,9 +6,9 @@
 	"net/http"
 )
 
-// Read decodes the JSON body of the request into v and reports whether that succeeded. If not, it
-// responds with status 400.
-func Read(w http.ResponseWriter, r *http.Request, v any) bool {
+// ReadJSON decodes the JSON body of the request into v and reports whether that succeeded. If not,
+// it responds with status 400.
+func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -16,8 +16,8 @@
 	return true
 }
 
-// Reply responds with a status and with v as the JSON body.
-func Reply(w http.ResponseWriter, status int, v any) {
+// WriteJSON responds with a status and with v as the JSON body.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/tools/verdict/main.go
+++ b/tools/verdict/main.go
@@ -17,8 +17,8 @@
 	"strings"
 )
 
-// maxKnown is the largest number of tests whose failures may be ignored.
-const maxKnown = 3
+// maxKnownRed is the largest number of tests whose failures may be ignored.
+const maxKnownRed = 3
 
 // maxLine is the maximum length of a line of the test output, in bytes.
 const maxLine = 16 << 20
@@ -33,8 +33,8 @@
 
 // verdict collects the results of tests and packages.
 type verdict struct {
-	// known maps the name of a listed test to its line in KNOWN-RED.txt.
-	known map[string]string
+	// knownRed maps the name of a listed test to its line in KNOWN-RED.txt.
+	knownRed map[string]string
 	// output holds the output by package and test; the test is empty for the package itself.
 	output map[[2]string]*strings.Builder
 	// failed lists the tests and packages that failed, in order.
@@ -44,9 +44,9 @@
 }
 
 func main() {
-	known, err := readKnown(os.Args[1])
+	known, err := readKnownRed(os.Args[1])
 	if err == nil {
-		v := verdict{known: known, output: make(map[[2]string]*strings.Builder)}
+		v := verdict{knownRed: known, output: make(map[[2]string]*strings.Builder)}
 		if err = v.read(os.Stdin); err == nil && v.report(os.Stdout) {
 			return
 		}
@@ -57,9 +57,9 @@
 	os.Exit(1)
 }
 
-// readKnown reads lines of the form "test: cause: issue". It skips empty lines and lines
+// readKnownRed reads lines of the form "test: cause: issue". It skips empty lines and lines
 // that begin with #. A missing file is an empty list.
-func readKnown(file string) (map[string]string, error) {
+func readKnownRed(file string) (map[string]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil && !os.IsNotExist(err) {
 		return nil, err
@@ -76,8 +76,8 @@
 		}
 		known[strings.TrimSpace(test)] = line
 	}
-	if len(known) > maxKnown {
-		return nil, fmt.Errorf("%s: %d tests, expected at most %d", file, len(known), maxKnown)
+	if len(known) > maxKnownRed {
+		return nil, fmt.Errorf("%s: %d tests, expected at most %d", file, len(known), maxKnownRed)
 	}
 	return known, nil
 }
@@ -92,12 +92,12 @@
 			fmt.Println(lines.Text())
 			continue
 		}
-		v.take(e)
+		v.record(e)
 	}
 	return lines.Err()
 }
 
-func (v *verdict) take(e event) {
+func (v *verdict) record(e event) {
 	id := [2]string{e.Package, e.Test}
 	switch e.Action {
 	case "build-output":
@@ -125,8 +125,8 @@
 	failed, ignored := 0, 0
 	for _, id := range v.failed {
 		switch {
-		case id[1] == "" && v.explained(id[0]):
-		case v.isKnown(id[1]):
+		case id[1] == "" && v.hasFailedTest(id[0]):
+		case v.isKnownRed(id[1]):
 			ignored++
 		default:
 			failed++
@@ -136,20 +136,20 @@
 			}
 		}
 	}
-	v.reportKnown(w)
+	v.reportKnownRed(w)
 	_, _ = fmt.Fprintf(w, "%d passed, %d failed, %d known red, %d skipped\n", v.passed, failed, ignored, v.skipped)
 	return failed == 0 && v.passed > 0
 }
 
-// explained reports whether a test of the package failed. A package that failed without a
+// hasFailedTest reports whether a test of the package failed. A package that failed without a
 // failed test did not build or crashed.
-func (v *verdict) explained(pkg string) bool {
+func (v *verdict) hasFailedTest(pkg string) bool {
 	return slices.ContainsFunc(v.failed, func(id [2]string) bool { return id[0] == pkg && id[1] != "" })
 }
 
-// isKnown reports whether a test is listed or is the parent of a listed test.
-func (v *verdict) isKnown(test string) bool {
-	for known := range v.known {
+// isKnownRed reports whether a test is listed or is the parent of a listed test.
+func (v *verdict) isKnownRed(test string) bool {
+	for known := range v.knownRed {
 		if known == test || test != "" && strings.HasPrefix(known, test+"/") {
 			return true
 		}
@@ -157,13 +157,13 @@
 	return false
 }
 
-// reportKnown prints the listed tests and whether they failed.
-func (v *verdict) reportKnown(w io.Writer) {
-	for _, test := range slices.Sorted(maps.Keys(v.known)) {
+// reportKnownRed prints the listed tests and whether they failed.
+func (v *verdict) reportKnownRed(w io.Writer) {
+	for _, test := range slices.Sorted(maps.Keys(v.knownRed)) {
 		state := "passed now: take it off the list"
 		if slices.ContainsFunc(v.failed, func(id [2]string) bool { return id[1] == test }) {
 			state = "failed"
 		}
-		_, _ = fmt.Fprintf(w, "KNOWN RED (%s) %s\n", state, v.known[test])
+		_, _ = fmt.Fprintf(w, "KNOWN RED (%s) %s\n", state, v.knownRed[test])
 	}
 }
--- a/tools/verdict/main_test.go
+++ b/tools/verdict/main_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const stream = `{"Action":"pass","Package":"p","Test":"TestA"}
+const testEvents = `{"Action":"pass","Package":"p","Test":"TestA"}
 {"Action":"pass","Package":"p"}
 {"Action":"output","Package":"q","Test":"TestB/one","Output":"said\n"}
 {"Action":"fail","Package":"q","Test":"TestB/one"}
@@ -17,13 +17,13 @@
 {"Action":"fail","Package":"q"}
 `
 
-func judge(t *testing.T, known, stream string) (bool, string) {
+func evaluate(t *testing.T, known, stream string) (bool, string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	require.NoError(t, os.WriteFile(file, []byte(known), 0o600))
-	list, err := readKnown(file)
+	list, err := readKnownRed(file)
 	require.NoError(t, err)
-	v := verdict{known: list, output: make(map[[2]string]*strings.Builder)}
+	v := verdict{knownRed: list, output: make(map[[2]string]*strings.Builder)}
 	require.NoError(t, v.read(strings.NewReader(stream)))
 	var out strings.Builder
 	passed := v.report(&out)
@@ -31,39 +31,39 @@
 }
 
 func TestVerdict(t *testing.T) {
-	passed, out := judge(t, "", stream)
+	passed, out := evaluate(t, "", testEvents)
 	require.False(t, passed)
 	require.Contains(t, out, "FAILED q TestB/one\nsaid\n")
 	require.Contains(t, out, "1 passed, 2 failed, 0 known red, 0 skipped\n")
 
-	passed, out = judge(t, "TestB/one: flaky clock: issue 7\n", stream)
+	passed, out = evaluate(t, "TestB/one: flaky clock: issue 7\n", testEvents)
 	require.True(t, passed)
 	require.Contains(t, out, "KNOWN RED (failed) TestB/one: flaky clock: issue 7\n1 passed, 0 failed, 2 known red, 0 skipped\n")
 
-	passed, _ = judge(t, "TestC: other: issue 8", stream)
+	passed, _ = evaluate(t, "TestC: other: issue 8", testEvents)
 	require.False(t, passed, "only failures of listed tests are ignored")
 
-	passed, out = judge(t, "TestA: mended: issue 9", `{"Action":"pass","Package":"p","Test":"TestA"}`)
+	passed, out = evaluate(t, "TestA: mended: issue 9", `{"Action":"pass","Package":"p","Test":"TestA"}`)
 	require.True(t, passed)
 	require.Contains(t, out, "KNOWN RED (passed now: take it off the list) TestA")
 }
 
 // Guards against a pass when a package crashes or does not build. No test of it fails, so a
 // count of failed tests alone would be zero.
-func TestDeadPackage(t *testing.T) {
-	passed, out := judge(t, "", `{"Action":"pass","Package":"p","Test":"TestA"}`+"\n"+`{"Action":"fail","Package":"q"}`)
+func TestPackageFailureWithoutFailedTest(t *testing.T) {
+	passed, out := evaluate(t, "", `{"Action":"pass","Package":"p","Test":"TestA"}`+"\n"+`{"Action":"fail","Package":"q"}`)
 	require.False(t, passed)
 	require.Contains(t, out, "1 passed, 1 failed")
-	passed, _ = judge(t, "", "")
+	passed, _ = evaluate(t, "", "")
 	require.False(t, passed, "no test ran")
 }
 
-func TestListIsBounded(t *testing.T) {
+func TestKnownRedListIsValidated(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	require.NoError(t, os.WriteFile(file, []byte("A: c: 1\nB: c: 1\nC: c: 1\nD: c: 1\n"), 0o600))
-	_, err := readKnown(file)
+	_, err := readKnownRed(file)
 	require.ErrorContains(t, err, "4 tests, expected at most 3")
 	require.NoError(t, os.WriteFile(file, []byte("A without cause\n"), 0o600))
-	_, err = readKnown(file)
+	_, err = readKnownRed(file)
 	require.ErrorContains(t, err, "expected \"test: cause: issue\"")
 }
